--- a/crates/customers/src/directory.rs
+++ b/crates/customers/src/directory.rs
@@ -29,20 +29,20 @@
 
 /// Why a list of customers is not taken.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
-pub enum Mistake {
+pub enum DirectoryError {
     /// customer {0}: named twice
-    NamedTwice(CustomerName),
+    DuplicateName(CustomerName),
     /// customer {0}: the weight is not a number of 0 or more
-    BadWeight(CustomerName),
+    InvalidWeight(CustomerName),
     /// customers {0} and {1}: have a key in common
     SharedKey(CustomerName, CustomerName),
 }
 
 /// Every mistake in a list of customers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mistakes(pub Vec<Mistake>);
+pub struct DirectoryErrors(pub Vec<DirectoryError>);
 
-impl fmt::Display for Mistakes {
+impl fmt::Display for DirectoryErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (number, mistake) in self.0.iter().enumerate() {
             let between = if number == 0 { "" } else { "; " };
@@ -52,7 +52,7 @@
     }
 }
 
-impl std::error::Error for Mistakes {}
+impl std::error::Error for DirectoryErrors {}
 
 /// Finds customers by their keys.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -65,27 +65,31 @@
 
 impl Directory {
     /// Files customers, or finds every mistake in their list.
-    pub fn new(customers: Vec<Customer>) -> Result<Self, Mistakes> {
+    pub fn new(customers: Vec<Customer>) -> Result<Self, DirectoryErrors> {
         let keys = customers.iter().map(|customer| customer.keys.len()).sum();
         let mut places: HashMap<KeyHash, usize> = HashMap::with_capacity(keys);
         let mut names = HashSet::new();
         let mut mistakes = Vec::new();
         for (place, customer) in customers.iter().enumerate() {
             if !names.insert(&customer.name) {
-                mistakes.push(Mistake::NamedTwice(customer.name.clone()));
+                mistakes.push(DirectoryError::DuplicateName(customer.name.clone()));
             }
             if !customer.weight.is_finite() || customer.weight < 0.0 {
-                mistakes.push(Mistake::BadWeight(customer.name.clone()));
+                mistakes.push(DirectoryError::InvalidWeight(customer.name.clone()));
             }
             for key in &customer.keys {
                 let first = *places.entry(*key).or_insert(place);
                 if first != place {
                     let first = customers[first].name.clone();
-                    mistakes.push(Mistake::SharedKey(first, customer.name.clone()));
+                    mistakes.push(DirectoryError::SharedKey(first, customer.name.clone()));
                 }
             }
         }
-        if mistakes.is_empty() { Ok(Self { customers, places }) } else { Err(Mistakes(mistakes)) }
+        if mistakes.is_empty() {
+            Ok(Self { customers, places })
+        } else {
+            Err(DirectoryErrors(mistakes))
+        }
     }
 
     /// The customer that a key belongs to.
@@ -104,9 +108,9 @@
 }
 
 impl TryFrom<Vec<Customer>> for Directory {
-    type Error = Mistakes;
+    type Error = DirectoryErrors;
 
-    fn try_from(customers: Vec<Customer>) -> Result<Self, Mistakes> {
+    fn try_from(customers: Vec<Customer>) -> Result<Self, DirectoryErrors> {
         Self::new(customers)
     }
 }
--- a/crates/customers/src/key.rs
+++ b/crates/customers/src/key.rs
@@ -76,7 +76,7 @@
 }
 
 /// The key in the value of an `Authorization` header; the scheme's case does not matter.
-pub fn bearer(value: &str) -> Option<&str> {
+pub fn bearer_key(value: &str) -> Option<&str> {
     let (scheme, key) = value.split_once(' ')?;
     let key = key.trim_matches(' ');
     (scheme.eq_ignore_ascii_case(SCHEME) && !key.is_empty()).then_some(key)
--- a/crates/customers/src/proof.rs
+++ b/crates/customers/src/proof.rs
@@ -19,68 +19,71 @@
 /// Moments are of one machine's steady clock, which has to go on while the machine is
 /// suspended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Proof {
+pub struct FreshnessProof {
     /// The version.
     pub version: u64,
     /// The moment.
-    pub at_ms: u64,
+    pub as_of_ms: u64,
 }
 
 /// How old a proof may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ProofLimits {
+pub struct FreshnessLimits {
     /// Callers are let in by one that is younger.
-    pub good_ms: u64,
+    pub max_age_ms: u64,
     /// A new one is asked for when it is older.
-    pub renew_ms: u64,
+    pub renew_age_ms: u64,
 }
 
-impl ProofLimits {
+impl FreshnessLimits {
     /// The limits where a key must not work for longer than this after it was taken away.
     pub fn new(revoke_ms: u64) -> Self {
-        Self { good_ms: revoke_ms * GOOD_PERCENT / 100, renew_ms: revoke_ms * RENEW_PERCENT / 100 }
+        Self {
+            max_age_ms: revoke_ms * GOOD_PERCENT / 100,
+            renew_age_ms: revoke_ms * RENEW_PERCENT / 100,
+        }
     }
 }
 
-impl Proof {
+impl FreshnessProof {
     /// What the store's answer to a question proves that was sent at a moment.
     pub fn from_store(version: u64, sent_ms: u64) -> Self {
-        Self { version, at_ms: sent_ms }
+        Self { version, as_of_ms: sent_ms }
     }
 
     /// What the proof of another daemon proves here, if it was asked for at a moment and
     /// had this age by the other one's clock.
     pub fn from_peer(version: u64, age_ms: u64, sent_ms: u64) -> Self {
         let widened_ms = age_ms.saturating_add(age_ms * CLOCK_RATE_PERMILLE / 1_000 + 1);
-        Self { version, at_ms: sent_ms.saturating_sub(widened_ms) }
+        Self { version, as_of_ms: sent_ms.saturating_sub(widened_ms) }
     }
 
     /// What it says of a newer version: whatever held for this one holds for that.
-    pub fn for_newer(self, version: u64) -> Self {
+    pub fn for_newer_version(self, version: u64) -> Self {
         Self { version: self.version.max(version), ..self }
     }
 
     /// This proof after another one was heard. One of a newer version says nothing of
     /// this one, except that it is not the newest any more.
-    pub fn learn(self, other: Self) -> Self {
+    pub fn merge(self, other: Self) -> Self {
         if other.version > self.version {
             return self;
         }
-        Self { at_ms: self.at_ms.max(other.at_ms), ..self }
+        Self { as_of_ms: self.as_of_ms.max(other.as_of_ms), ..self }
     }
 
     /// How old it is.
     pub fn age_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.at_ms)
+        now_ms.saturating_sub(self.as_of_ms)
     }
 
     /// Whether it lets callers in.
-    pub fn is_good(&self, now_ms: u64, limits: &ProofLimits) -> bool {
-        self.version > 0 && self.age_ms(now_ms) < limits.good_ms
+    pub fn is_valid(&self, now_ms: u64, limits: &FreshnessLimits) -> bool {
+        self.version > 0 && self.age_ms(now_ms) < limits.max_age_ms
     }
 
     /// Whether a new one has to be asked for.
-    pub fn is_due(&self, now_ms: u64, limits: &ProofLimits) -> bool {
-        self.version == 0 || self.age_ms(now_ms) >= limits.renew_ms
+    pub fn needs_renewal(&self, now_ms: u64, limits: &FreshnessLimits) -> bool {
+        self.version == 0 || self.age_ms(now_ms) >= limits.renew_age_ms
     }
 }
--- a/crates/customers/tests/keys.rs
+++ b/crates/customers/tests/keys.rs
@@ -2,9 +2,9 @@
 
 use stoatwell_customers::Customer;
 use stoatwell_customers::Directory;
+use stoatwell_customers::DirectoryError;
 use stoatwell_customers::KeyHash;
-use stoatwell_customers::Mistake;
-use stoatwell_customers::bearer;
+use stoatwell_customers::bearer_key;
 use stoatwell_model::CustomerName;
 use stoatwell_model::Resources;
 
@@ -35,8 +35,11 @@
     let all = vec![customer("a", &["k1"]), customer("a", &["k2"]), light];
     let mistakes = Directory::new(all).expect_err("mistakes").0;
     let [a, b] = ["a", "b"].map(CustomerName::new);
-    let expected =
-        [Mistake::NamedTwice(a.clone()), Mistake::BadWeight(b.clone()), Mistake::SharedKey(a, b)];
+    let expected = [
+        DirectoryError::DuplicateName(a.clone()),
+        DirectoryError::InvalidWeight(b.clone()),
+        DirectoryError::SharedKey(a, b),
+    ];
     assert_eq!(mistakes, expected);
 }
 
@@ -48,10 +51,10 @@
 #[test]
 fn the_header_may_be_written_in_odd_ways() {
     for odd in ["Bearer k1", "bearer k1", "BEARER  k1 "] {
-        assert_eq!(bearer(odd), Some("k1"), "{odd:?}");
+        assert_eq!(bearer_key(odd), Some("k1"), "{odd:?}");
     }
     for wrong in ["", "Bearer", "Bearer ", "k1", "Basic k1", "Bearerk1"] {
-        assert_eq!(bearer(wrong), None, "{wrong:?}");
+        assert_eq!(bearer_key(wrong), None, "{wrong:?}");
     }
 }
 
--- a/crates/customers/tests/proof.rs
+++ b/crates/customers/tests/proof.rs
@@ -4,8 +4,8 @@
 //! another daemon asks the leader and hears it, both may be suspended in between, and a
 //! request comes at the last moment at which the daemon lets it in.
 
-use stoatwell_customers::Proof;
-use stoatwell_customers::ProofLimits;
+use stoatwell_customers::FreshnessLimits;
+use stoatwell_customers::FreshnessProof;
 
 const REVOKE_MS: u64 = 5_000;
 /// Moments are multiples of this.
@@ -46,18 +46,19 @@
 fn lets_in(way: Way, at: &Moments, revoked: u64) -> bool {
     let answered = if revoked > at.served { OLD } else { NEW };
     let sent = if way == Way::AgeFromReceipt { at.heard } else { BEGIN_MS };
-    let leader = Proof::from_store(answered, sent);
+    let leader = FreshnessProof::from_store(answered, sent);
     let slept = |from: u64, to: u64| {
         if at.suspended && way == Way::ClockStops { to - from } else { 0 }
     };
     // The leader's clock runs 2% slow.
     let age_ms = leader.age_ms(at.passed - slept(at.heard, at.passed)) * 98 / 100;
     let asked = if way == Way::RelayFromReceipt { at.arrived } else { at.asked };
-    let relayed = Proof::from_peer(leader.version, age_ms, asked);
-    let relayed = if way == Way::AnyVersion { Proof { version: OLD, ..relayed } } else { relayed };
-    let known = Proof { version: OLD, at_ms: 0 }.learn(relayed);
+    let relayed = FreshnessProof::from_peer(leader.version, age_ms, asked);
+    let relayed =
+        if way == Way::AnyVersion { FreshnessProof { version: OLD, ..relayed } } else { relayed };
+    let known = FreshnessProof { version: OLD, as_of_ms: 0 }.merge(relayed);
     let now = at.called - slept(at.arrived, at.called);
-    known.is_good(now, &ProofLimits::new(REVOKE_MS))
+    known.is_valid(now, &FreshnessLimits::new(REVOKE_MS))
 }
 
 /// Cases in which a call is let in later than allowed after its key was taken away.
@@ -115,17 +116,17 @@
 /// A daemon that is served by proofs alone must not refuse its callers needlessly.
 #[test]
 fn a_fresh_proof_lets_callers_in() {
-    let limits = ProofLimits::new(REVOKE_MS);
-    let proof = Proof::from_peer(OLD, 600, 10_000);
-    assert!(proof.is_good(10_400, &limits));
-    assert!(!proof.is_due(10_400, &limits));
-    assert!(proof.is_due(12_000, &limits));
-    assert!(!proof.is_good(14_500, &limits));
+    let limits = FreshnessLimits::new(REVOKE_MS);
+    let proof = FreshnessProof::from_peer(OLD, 600, 10_000);
+    assert!(proof.is_valid(10_400, &limits));
+    assert!(!proof.needs_renewal(10_400, &limits));
+    assert!(proof.needs_renewal(12_000, &limits));
+    assert!(!proof.is_valid(14_500, &limits));
 }
 
 #[test]
 fn a_version_that_was_never_proved_lets_nobody_in() {
-    let limits = ProofLimits::new(REVOKE_MS);
-    assert!(!Proof::default().is_good(100, &limits));
-    assert!(Proof::default().is_due(100, &limits));
+    let limits = FreshnessLimits::new(REVOKE_MS);
+    assert!(!FreshnessProof::default().is_valid(100, &limits));
+    assert!(FreshnessProof::default().needs_renewal(100, &limits));
 }
--- a/crates/daemon/src/api/auth.rs
+++ b/crates/daemon/src/api/auth.rs
@@ -3,7 +3,7 @@
 use axum::http::HeaderMap;
 use axum::http::header;
 use stoatwell_customers::KeyHash;
-use stoatwell_customers::bearer;
+use stoatwell_customers::bearer_key;
 use stoatwell_engine::Caller;
 use stoatwell_model::Code;
 use stoatwell_model::Failure;
@@ -20,7 +20,7 @@
         return Ok(Caller::Operator);
     }
     let token = headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
-    let token = token.and_then(bearer).ok_or_else(|| Failure::new(Code::Unauthenticated))?;
+    let token = token.and_then(bearer_key).ok_or_else(|| Failure::new(Code::Unauthenticated))?;
     let hash = KeyHash::of(token);
     let is_mine = |known: &String| known.parse::<KeyHash>().is_ok_and(|known| known == hash);
     if shared.settings.security.operator_token_sha256.iter().any(is_mine) {
--- a/crates/node/src/gateway.rs
+++ b/crates/node/src/gateway.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use stoatwell_customers::Proof;
+use stoatwell_customers::FreshnessProof;
 use stoatwell_model::CustomerName;
 use stoatwell_peer::Peers;
 use stoatwell_peer::client::PeerError;
@@ -173,7 +173,7 @@
     /// Takes note of the leader's proof, and gets its manifest if that is newer.
     pub(crate) async fn note_proof(&self, leader: &str, passed: PassedProof, asked_ms: u64) {
         if passed.version <= self.manifest.newest().version {
-            let proof = Proof::from_peer(passed.version, passed.age_ms, asked_ms);
+            let proof = FreshnessProof::from_peer(passed.version, passed.age_ms, asked_ms);
             self.manifest.note_proof(proof);
             return;
         }
@@ -182,7 +182,7 @@
         let Ok(NodeReply::Manifest { manifest, proof }) = reply else { return };
         let Some(manifest) = executors::call::decode::<Manifest>(&manifest) else { return };
         self.manifest.offer(manifest);
-        self.manifest.note_proof(Proof::from_peer(proof.version, proof.age_ms, asked_ms));
+        self.manifest.note_proof(FreshnessProof::from_peer(proof.version, proof.age_ms, asked_ms));
     }
 
     /// The manifest that callers are held against.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -27,7 +27,7 @@
 
 use std::sync::Arc;
 
-use stoatwell_customers::ProofLimits;
+use stoatwell_customers::FreshnessLimits;
 use stoatwell_model::ZoneName;
 use stoatwell_peer::Peers;
 use stoatwell_peer::Traffic;
@@ -119,7 +119,7 @@
     /// Starts the daemon's tasks; peers connect to the listener.
     pub fn start(settings: &NodeSettings, outside: Arc<O>, listener: TcpListener) -> Self {
         let health = Arc::new(StoreHealth::default());
-        let manifest = Arc::new(ManifestInForce::new(settings.revoke_ms.map(ProofLimits::new)));
+        let manifest = Arc::new(ManifestInForce::new(settings.revoke_ms.map(FreshnessLimits::new)));
         let acceptor = Acceptor::start(Arc::clone(&outside), Arc::clone(&health));
         let peers = Peers::new(&settings.peer_key, Traffic::default());
         let gateway = Arc::new(Gateway::new(
--- a/crates/node/src/manifest/follow.rs
+++ b/crates/node/src/manifest/follow.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stoatwell_customers::Proof;
+use stoatwell_customers::FreshnessProof;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 use tokio::time::timeout;
@@ -89,12 +89,12 @@
             let asked = outside.confirm_manifest(manifest.row_version);
             match timeout(CONFIRM_TIMEOUT, asked).await {
                 Ok(Ok(Confirmation::Newest)) => {
-                    in_force.note_proof(Proof::from_store(manifest.version, sent_ms));
+                    in_force.note_proof(FreshnessProof::from_store(manifest.version, sent_ms));
                 }
                 Ok(Ok(Confirmation::Replaced(Some(newer)))) => {
                     let version = newer.version;
                     in_force.offer(newer);
-                    in_force.note_proof(Proof::from_store(version, sent_ms));
+                    in_force.note_proof(FreshnessProof::from_store(version, sent_ms));
                 }
                 Ok(Ok(Confirmation::Replaced(None))) => {
                     tracing::warn!(version = manifest.version, "a newer manifest cannot be read");
--- a/crates/node/src/manifest/in_force.rs
+++ b/crates/node/src/manifest/in_force.rs
@@ -4,8 +4,8 @@
 
 use serde::Deserialize;
 use serde::Serialize;
-use stoatwell_customers::Proof;
-use stoatwell_customers::ProofLimits;
+use stoatwell_customers::FreshnessLimits;
+use stoatwell_customers::FreshnessProof;
 use tokio::sync::watch;
 
 use crate::manifest::Manifest;
@@ -16,13 +16,13 @@
 pub struct ManifestInForce {
     view: watch::Sender<View>,
     /// How old a proof may be; none where keys are not taken away by a deadline.
-    limits: Option<ProofLimits>,
+    limits: Option<FreshnessLimits>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct View {
     manifest: Arc<Manifest>,
-    proof: Proof,
+    proof: FreshnessProof,
 }
 
 /// The proof of one daemon, as another one gets it.
@@ -36,7 +36,7 @@
 
 impl ManifestInForce {
     /// No manifest yet.
-    pub fn new(limits: Option<ProofLimits>) -> Self {
+    pub fn new(limits: Option<FreshnessLimits>) -> Self {
         Self { view: watch::Sender::default(), limits }
     }
 
@@ -54,16 +54,16 @@
             let (version, queues) = (manifest.version, manifest.queues.len());
             let customers = manifest.customers.as_ref().map(|all| all.customers().len());
             tracing::info!(version, queues, customers, "manifest in force");
-            view.proof = view.proof.for_newer(version);
+            view.proof = view.proof.for_newer_version(version);
             view.manifest = Arc::new(manifest);
             true
         });
     }
 
     /// Takes note of a proof.
-    pub fn note_proof(&self, proof: Proof) {
+    pub fn note_proof(&self, proof: FreshnessProof) {
         self.view.send_if_modified(|view| {
-            view.proof = view.proof.learn(proof);
+            view.proof = view.proof.merge(proof);
             // Nobody waits for proofs.
             false
         });
@@ -79,14 +79,14 @@
     pub fn is_confirmed(&self, now_ms: u64) -> bool {
         let Some(limits) = self.limits else { return true };
         let view = self.view.borrow();
-        view.manifest.customers.is_none() || view.proof.is_good(now_ms, &limits)
+        view.manifest.customers.is_none() || view.proof.is_valid(now_ms, &limits)
     }
 
     /// Whether a new proof is wanted.
     pub(crate) fn is_proof_due(&self, now_ms: u64) -> bool {
         let Some(limits) = self.limits else { return false };
         let view = self.view.borrow();
-        view.manifest.customers.is_some() && view.proof.is_due(now_ms, &limits)
+        view.manifest.customers.is_some() && view.proof.needs_renewal(now_ms, &limits)
     }
 
     /// Waits for a newer manifest than this version.
