--- a/crates/bench/src/trace.rs
+++ b/crates/bench/src/trace.rs
@@ -19,9 +19,9 @@
 use stoatwell_model::Urgency;
 use stoatwell_model::WorkerId;
 use stoatwell_model::worker::WorkerState;
-use stoatwell_placement::End;
 use stoatwell_placement::Policy;
 use stoatwell_placement::Scheduler;
+use stoatwell_placement::TaskEnd;
 use stoatwell_placement::WaitingJob;
 
 const GIB: u64 = 1 << 30;
@@ -74,7 +74,8 @@
 /// Feeds the trace to the scheduler in virtual time.
 pub(crate) fn run(setting: Setting, clock: impl Fn() -> f64) -> Report {
     let mut rng = Pcg64Mcg::seed_from_u64(setting.seed);
-    let mut scheduler = Scheduler::new(Policy { learn: setting.learn, ..Policy::default() });
+    let mut scheduler =
+        Scheduler::new(Policy { use_estimates: setting.learn, ..Policy::default() });
     let mut capacity = Resources::ZERO;
     for number in 0..setting.workers {
         capacity = capacity.plus(&add_worker(&mut scheduler, number));
@@ -163,16 +164,16 @@
         }
     }
     for (attempt, truth) in told {
-        for victim in scheduler.observe(now_ms, attempt, &truth) {
+        for victim in scheduler.record_usage(now_ms, attempt, &truth) {
             if let Some(stopped) = running.remove(&victim) {
-                scheduler.ended(now_ms, &stopped.worker, victim, End::Stopped);
+                scheduler.task_ended(now_ms, &stopped.worker, victim, TaskEnd::Stopped);
             }
         }
     }
     for attempt in ended {
         if let Some(one) = running.remove(&attempt) {
-            scheduler.observe(now_ms, attempt, &one.truth);
-            scheduler.ended(now_ms, &one.worker, attempt, End::Succeeded);
+            scheduler.record_usage(now_ms, attempt, &one.truth);
+            scheduler.task_ended(now_ms, &one.worker, attempt, TaskEnd::Succeeded);
         }
     }
 }
@@ -191,7 +192,7 @@
     let mut over = 0;
     let mut crowded = 0;
     for (worker, (promised, truth)) in sums {
-        let Some(slot) = scheduler.cell.slot_of(worker) else {
+        let Some(slot) = scheduler.cell.worker_info(worker) else {
             continue;
         };
         over += u64::from(!slot.capacity.holds(&promised));
@@ -225,7 +226,7 @@
         next_owner: None,
         epoch: 1,
     };
-    scheduler.health.succeeded(&worker, &EntryName::new("warm-up"));
+    scheduler.health.record_success(&worker, &EntryName::new("warm-up"));
     scheduler.put_worker(0, &state, Some(&target));
     capacity
 }
--- a/crates/engine/src/catalogue.rs
+++ b/crates/engine/src/catalogue.rs
@@ -123,7 +123,7 @@
         let target = self.catalogue.target(worker).cloned();
         self.scheduler.set_target(worker, target.as_ref());
         let serving = target.as_ref().filter(|target| target.state == TargetState::Serving);
-        self.minions.set_serves(worker, serving.map(|target| &target.owner));
+        self.minions.set_owner(worker, serving.map(|target| &target.owner));
         if let Some(target) = &target
             && target.state != TargetState::Serving
         {
@@ -170,7 +170,7 @@
     /// replaced elsewhere and patient batch work gives way with its progress
     /// saved. Urgent work, gangs and what may run only once come to their end.
     fn clear_target(&mut self, worker: &WorkerId) {
-        let Some(slot) = self.scheduler.cell.slot_of(worker) else {
+        let Some(slot) = self.scheduler.cell.worker_info(worker) else {
             return;
         };
         let mut moved = Vec::new();
@@ -178,7 +178,7 @@
             let Some(running) = self.scheduler.cell.running(*attempt) else {
                 continue;
             };
-            let patient = running.gives_way() && running.urgency == Urgency::Patient;
+            let patient = running.is_evictable() && running.urgency == Urgency::Patient;
             if running.class == Class::Service || patient {
                 moved.push(*attempt);
             }
@@ -228,7 +228,7 @@
 
     /// Whether some target that serves this owner, in any zone, could hold this much.
     pub(crate) fn could_hold_anywhere(&self, owner: &OwnerName, need: &Resources) -> Option<bool> {
-        if self.scheduler.cell.could_hold(owner, need) {
+        if self.scheduler.cell.could_fit(owner, need) {
             return Some(true);
         }
         let serving = self.catalogue.targets().filter(|target| target.serves(owner)).count();
--- a/crates/engine/src/dump.rs
+++ b/crates/engine/src/dump.rs
@@ -208,7 +208,7 @@
     fn dump_workers(&self) -> Vec<WorkerDump> {
         let mut workers = Vec::new();
         for (worker, holding) in self.holdings.all() {
-            let slot = self.scheduler.cell.slot_of(worker);
+            let slot = self.scheduler.cell.worker_info(worker);
             let lease_left_ms = match holding.state {
                 HoldState::Mine { until_ms } => Some(until_ms.saturating_sub(self.now_ms)),
                 HoldState::Other => None,
@@ -218,10 +218,11 @@
                 lease_left_ms,
                 token: holding.token,
                 capacity: slot.map_or(Resources::ZERO, |slot| slot.capacity),
-                free: slot.map_or(Resources::ZERO, stoatwell_placement::cell::Slot::free),
+                free: slot.map_or(Resources::ZERO, stoatwell_placement::cell::WorkerInfo::free),
                 foreign: slot.map_or(Resources::ZERO, |slot| slot.foreign),
                 tasks: slot.map_or(0, |slot| slot.tasks.len()),
-                quarantined: slot.is_some_and(stoatwell_placement::cell::Slot::is_quarantined),
+                quarantined: slot
+                    .is_some_and(stoatwell_placement::cell::WorkerInfo::is_quarantined),
             });
         }
         workers
@@ -229,14 +230,16 @@
 
     fn dump_queues(&mut self) -> Vec<QueueDump> {
         let mut fronts = Vec::new();
-        for line in self.scheduler.queue.lines() {
+        for line in self.scheduler.queue.entry_queues() {
             let waited_ms = self.now_ms.saturating_sub(line.front_accepted_ms());
-            let jobs = self.scheduler.queue.jobs_of(&line.entry, line.urgency);
+            let jobs = self.scheduler.queue.job_count(&line.entry, line.urgency);
             fronts.push((line.entry.clone(), line.urgency, jobs, waited_ms, line.front(1).next()));
         }
         let mut queues = Vec::new();
         for (entry, urgency, jobs, front_waited_ms, front) in fronts {
-            let reasons = front.map(|job| self.scheduler.why(self.now_ms, job)).unwrap_or_default();
+            let reasons = front
+                .map(|job| self.scheduler.pending_reasons(self.now_ms, job))
+                .unwrap_or_default();
             queues.push(QueueDump {
                 entry: entry.to_string(),
                 urgency,
--- a/crates/engine/src/holders.rs
+++ b/crates/engine/src/holders.rs
@@ -22,8 +22,8 @@
 use stoatwell_model::worker::TaskState;
 use stoatwell_model::worker::Token;
 use stoatwell_model::worker::WorkerState;
-use stoatwell_placement::End;
 use stoatwell_placement::Running;
+use stoatwell_placement::TaskEnd;
 use stoatwell_platform::CallError;
 use stoatwell_platform::WorkerCall;
 use stoatwell_platform::WorkerReply;
@@ -158,7 +158,7 @@
         self.held.insert(worker.clone(), Held::new(state.token));
         let target = self.catalogue.target(worker).cloned();
         self.scheduler.put_worker(self.now_ms, state, target.as_ref());
-        self.minions.put(worker, &state.minions);
+        self.minions.put_worker(worker, &state.minions);
         for report in &state.tasks {
             self.on_report(worker, report);
         }
@@ -183,7 +183,7 @@
     }
 
     fn note_foreign(&mut self, worker: &WorkerId, foreign: Resources) {
-        let Some(slot) = self.scheduler.cell.slot_of(worker) else {
+        let Some(slot) = self.scheduler.cell.worker_info(worker) else {
             return;
         };
         if slot.foreign != foreign {
@@ -221,7 +221,7 @@
         // Room promised for the same attempt on another worker is not needed.
         self.remote.withdraw_promise(report.attempt);
         self.scheduler.adopt(report.attempt, running);
-        let victims = self.scheduler.observe(self.now_ms, report.attempt, &report.usage);
+        let victims = self.scheduler.record_usage(self.now_ms, report.attempt, &report.usage);
         for victim in victims {
             self.stop_here(worker, victim, StopMode::Checkpoint);
         }
@@ -229,11 +229,11 @@
 
     fn count_ended(&mut self, worker: &WorkerId, attempt: AttemptId, state: &TaskState) {
         let end = match state {
-            TaskState::Done { .. } => End::Succeeded,
-            TaskState::Failed { .. } => End::Failed,
-            TaskState::Stopped { .. } | TaskState::Running => End::Stopped,
+            TaskState::Done { .. } => TaskEnd::Succeeded,
+            TaskState::Failed { .. } => TaskEnd::Failed,
+            TaskState::Stopped { .. } | TaskState::Running => TaskEnd::Stopped,
         };
-        self.scheduler.ended(self.now_ms, worker, attempt, end);
+        self.scheduler.task_ended(self.now_ms, worker, attempt, end);
         self.schedule_due = true;
     }
 
@@ -256,7 +256,7 @@
             demand: report.demand,
             used: report.usage,
             started_ms: self.now_ms,
-            beneath: false,
+            uses_claimed: false,
         }
     }
 
@@ -306,7 +306,7 @@
     }
 
     pub(crate) fn not_started(&mut self, attempt: AttemptId) {
-        self.scheduler.not_started(self.now_ms, attempt);
+        self.scheduler.release_unstarted(self.now_ms, attempt);
         self.schedule_due = true;
     }
 
--- a/crates/engine/src/jobs.rs
+++ b/crates/engine/src/jobs.rs
@@ -158,7 +158,7 @@
         }
         // A lease that ran out just now; the task waits for another worker.
         for attempt in unplaced {
-            self.scheduler.not_started(self.now_ms, attempt);
+            self.scheduler.release_unstarted(self.now_ms, attempt);
             self.enqueue(id, vec![attempt]);
         }
         if let Some(job) = self.jobs.get_mut(&id)
@@ -329,7 +329,7 @@
 
     /// How a job that runs here is.
     pub(crate) fn view(&mut self, id: JobId) -> Option<JobView> {
-        let waits = self.scheduler.why(self.now_ms, id);
+        let waits = self.scheduler.pending_reasons(self.now_ms, id);
         let job = self.jobs.get(&id)?;
         Some(job.machine.view(waits))
     }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -48,8 +48,8 @@
 use stoatwell_placement::Policy;
 use stoatwell_placement::Scheduler;
 use stoatwell_routing::Minions;
+use stoatwell_routing::RequestQueue;
 use stoatwell_routing::RetryBudget;
-use stoatwell_routing::Waiting;
 use stoatwell_settings::Settings;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -133,7 +133,7 @@
     minions: Minions,
     budget: RetryBudget,
     requests: BTreeMap<u64, Request>,
-    waiting: Waiting,
+    waiting: RequestQueue,
     next_request: u64,
 
     stopping: bool,
@@ -193,7 +193,7 @@
             minions: Minions::new(routing.breaker_failures, routing.breaker_open_ms),
             budget: RetryBudget::new(routing.retry_permille),
             requests: BTreeMap::new(),
-            waiting: Waiting::default(),
+            waiting: RequestQueue::default(),
             next_request: 0,
             stopping: false,
             stopped: false,
--- a/crates/engine/src/peers.rs
+++ b/crates/engine/src/peers.rs
@@ -126,7 +126,7 @@
         Summary {
             workers: self.held.len() as u32,
             queued: self.scheduler.queue.tasks().min(u64::from(u32::MAX)) as u32,
-            running: self.scheduler.cell.running_len() as u32,
+            running: self.scheduler.cell.running_count() as u32,
             owners: self.scheduler.owner_summaries(),
             groups: self.minions.summary(self.now_ms),
         }
--- a/crates/engine/src/remote.rs
+++ b/crates/engine/src/remote.rs
@@ -142,7 +142,7 @@
             return;
         }
         let mut fronts = Vec::new();
-        for line in self.scheduler.queue.lines() {
+        for line in self.scheduler.queue.entry_queues() {
             fronts.extend(line.front(1));
         }
         let mut asked = 0;
@@ -170,7 +170,7 @@
         if waiting.class == Class::Gang {
             // Where it would fit in whole, room is kept for it here instead.
             let cell = &self.scheduler.cell;
-            let fits_here = cell.could_hold_all(&waiting.owner, &demand, waiting.tasks.len());
+            let fits_here = cell.could_fit_all(&waiting.owner, &demand, waiting.tasks.len());
             return !fits_here && self.gather_gang(waiting);
         }
         let offers = |owners: &[stoatwell_model::peer::OwnerSummary]| {
@@ -186,7 +186,7 @@
         let Some(holder) = offering.get(turn % offering.len().max(1)).copied().cloned() else {
             return false;
         };
-        let attempts = self.scheduler.queue.take(waiting.job, TASKS_PER_QUESTION);
+        let attempts = self.scheduler.queue.take_tasks(waiting.job, TASKS_PER_QUESTION);
         self.reserve_at(waiting.job, &holder, attempts)
     }
 
@@ -244,11 +244,11 @@
             if self.scheduler.cell.running(*attempt).is_some() {
                 break;
             }
-            let Some(placed) = self.scheduler.place_one(self.now_ms, &waiting, *attempt) else {
+            let Some(placed) = self.scheduler.place_task(self.now_ms, &waiting, *attempt) else {
                 break;
             };
             let Some(token) = self.holdings.token(self.now_ms, &placed.worker) else {
-                self.scheduler.not_started(self.now_ms, *attempt);
+                self.scheduler.release_unstarted(self.now_ms, *attempt);
                 break;
             };
             self.remote.promised.insert(*attempt, self.now_ms + RESERVED_MS);
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -17,8 +17,8 @@
 use stoatwell_platform::CallError;
 use stoatwell_platform::MinionCall;
 use stoatwell_platform::MinionReply;
-use stoatwell_routing::Picked;
-use stoatwell_routing::minions::Ending;
+use stoatwell_routing::PickedMinion;
+use stoatwell_routing::minions::RequestEnd;
 
 use crate::Engine;
 use crate::jobs::Job;
@@ -43,7 +43,7 @@
     pub(crate) group: String,
     pub(crate) deadline_ms: UnixMs,
     pub(crate) tries: u32,
-    pub(crate) picked: Option<Picked>,
+    pub(crate) picked: Option<PickedMinion>,
     pub(crate) asked: bool,
     /// Whether a try may have been begun; then "not run" would be no proof.
     pub(crate) may_have_run: bool,
@@ -154,9 +154,9 @@
     }
 
     /// A slot was taken for this request.
-    fn route(&mut self, number: u64, picked: Picked) {
+    fn route(&mut self, number: u64, picked: PickedMinion) {
         let Some(request) = self.requests.get_mut(&number) else {
-            self.minions.release(self.now_ms, &picked.minion, Ending::Answered);
+            self.minions.release(self.now_ms, &picked.minion, RequestEnd::Answered);
             return;
         };
         let worker = picked.worker.clone();
@@ -182,7 +182,7 @@
             self.requests.get(&number).is_none_or(|request| request.deadline_ms <= self.now_ms);
         if late {
             // The record took longer than the request had time; it was not sent.
-            self.give_slot_back(number, Ending::Answered);
+            self.give_slot_back(number, RequestEnd::Answered);
             self.requests.remove(&number);
             self.finish_request(id, not_run(Code::DeadlinePassed, "it waited for its record"));
             return;
@@ -217,9 +217,9 @@
 
     fn on_asked(&mut self, number: u64, minion: &MinionId, reply: Result<MinionReply, CallError>) {
         let ending = match &reply {
-            Ok(MinionReply::Busy) => Ending::Busy,
-            Ok(_) => Ending::Answered,
-            Err(_) => Ending::Failed,
+            Ok(MinionReply::Busy) => RequestEnd::Busy,
+            Ok(_) => RequestEnd::Answered,
+            Err(_) => RequestEnd::Failed,
         };
         self.minions.release(self.now_ms, minion, ending);
         let Some(request) = self.requests.get_mut(&number) else {
@@ -397,7 +397,7 @@
     }
 
     pub(crate) fn expire_requests(&mut self) {
-        for number in self.waiting.expired(self.now_ms) {
+        for number in self.waiting.take_expired(self.now_ms) {
             self.end_untried(number, Code::DeadlinePassed, "no slot became free in time");
         }
     }
@@ -407,19 +407,19 @@
         if let Some(number) = number
             && self.requests.get(&number).is_some_and(|request| !request.asked)
         {
-            self.give_slot_back(number, Ending::Answered);
+            self.give_slot_back(number, RequestEnd::Answered);
             self.requests.remove(&number);
         }
     }
 
     pub(crate) fn drop_request_of(&mut self, job: &Job) {
         if let Some(number) = job.request {
-            self.give_slot_back(number, Ending::Answered);
+            self.give_slot_back(number, RequestEnd::Answered);
             self.requests.remove(&number);
         }
     }
 
-    fn give_slot_back(&mut self, number: u64, ending: Ending) {
+    fn give_slot_back(&mut self, number: u64, ending: RequestEnd) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
--- a/crates/engine/src/seen.rs
+++ b/crates/engine/src/seen.rs
@@ -82,7 +82,7 @@
 
     pub(crate) fn drive_seen(&mut self, attempt: AttemptId, seen: &Seen) {
         if matches!(seen, Seen::Absent) {
-            self.scheduler.queue.put_off(attempt.job, self.now_ms + REFUSED_PAUSE_MS);
+            self.scheduler.queue.defer(attempt.job, self.now_ms + REFUSED_PAUSE_MS);
         }
         self.drive(attempt.job, |machine, now_ms| match seen {
             Seen::State(state) => machine.on_report(now_ms, attempt, state),
--- a/crates/engine/src/submit.rs
+++ b/crates/engine/src/submit.rs
@@ -171,7 +171,7 @@
             return;
         }
         let demand = admitted.submission.demand.unwrap_or(admitted.entry.task);
-        let here = self.scheduler.cell.could_hold(&admitted.entry.owner, &demand);
+        let here = self.scheduler.cell.could_fit(&admitted.entry.owner, &demand);
         if may_forward && !here {
             let target = self.find_room(&admitted.entry.owner, &demand);
             if let Some(daemon) = target
@@ -208,11 +208,11 @@
         if self.jobs.len() as u64 >= self.settings.queue.jobs {
             return Err(Failure::new(Code::Overloaded).retry_after(RETRY_AFTER_MS));
         }
-        let waiting = self.scheduler.queue.jobs_of(&entry.name, entry.urgency);
+        let waiting = self.scheduler.queue.job_count(&entry.name, entry.urgency);
         if waiting as u64 >= u64::from(entry.limits.queued_jobs) {
             return Err(Failure::new(Code::QueueFull).retry_after(RETRY_AFTER_MS));
         }
-        if let Some(until_ms) = self.scheduler.health.held_until(self.now_ms, &entry.name) {
+        if let Some(until_ms) = self.scheduler.health.held_back_until(self.now_ms, &entry.name) {
             let wait_ms = until_ms - self.now_ms;
             return Err(Failure::new(Code::EntryHeldBack).retry_after(wait_ms));
         }
--- a/crates/engine/src/wide.rs
+++ b/crates/engine/src/wide.rs
@@ -24,13 +24,13 @@
         let attempts = self.scheduler.withdraw(waiting.job);
         let mut placed = Vec::new();
         for attempt in &attempts {
-            let Some(found) = self.scheduler.place_one(self.now_ms, waiting, *attempt) else {
+            let Some(found) = self.scheduler.place_task(self.now_ms, waiting, *attempt) else {
                 break;
             };
             if let Some(token) = self.holdings.token(self.now_ms, &found.worker) {
                 placed.push((*attempt, found.worker, token));
             } else {
-                self.scheduler.not_started(self.now_ms, *attempt);
+                self.scheduler.release_unstarted(self.now_ms, *attempt);
                 break;
             }
         }
@@ -65,7 +65,7 @@
         for (attempt, _, _) in &gang.placed {
             match self.remote.reserved.remove(attempt) {
                 Some((holder, _)) => elsewhere.entry(holder).or_default().push(*attempt),
-                None => self.scheduler.not_started(self.now_ms, *attempt),
+                None => self.scheduler.release_unstarted(self.now_ms, *attempt),
             }
         }
         for (holder, attempts) in elsewhere {
--- a/crates/placement/src/cell/mod.rs
+++ b/crates/placement/src/cell/mod.rs
@@ -29,7 +29,7 @@
 /// The workers of one holder.
 #[derive(Debug, Default)]
 pub struct Cell {
-    slots: Vec<Slot>,
+    slots: Vec<WorkerInfo>,
     by_id: HashMap<WorkerId, usize>,
     pools: BTreeMap<OwnerName, Pool>,
     running: HashMap<AttemptId, Running>,
@@ -38,7 +38,7 @@
 
 /// One worker.
 #[derive(Debug)]
-pub struct Slot {
+pub struct WorkerInfo {
     /// The worker.
     pub worker: WorkerId,
     /// Its rack.
@@ -86,7 +86,7 @@
     /// Only what is free.
     Free,
     /// Also what is kept for a waiting gang.
-    Beneath,
+    IncludingClaimed,
 }
 
 /// A task that runs, or is about to.
@@ -113,12 +113,12 @@
     /// When it was started.
     pub started_ms: UnixMs,
     /// Whether it uses room that is kept for a waiting gang.
-    pub beneath: bool,
+    pub uses_claimed: bool,
 }
 
 impl Running {
     /// Whether it may be stopped to make room for urgent work.
-    pub fn gives_way(&self) -> bool {
+    pub fn is_evictable(&self) -> bool {
         self.class == Class::Batch
             && self.execution != Execution::AtMostOnce
             && self.urgency != Urgency::Urgent
@@ -150,7 +150,7 @@
             return;
         }
         let index = self.slots.len();
-        self.slots.push(Slot {
+        self.slots.push(WorkerInfo {
             worker: worker.clone(),
             rack: rack.to_owned(),
             capacity,
@@ -263,7 +263,7 @@
     }
 
     /// Takes what a task was seen to use.
-    pub fn observe(&mut self, attempt: AttemptId, used: &Resources) {
+    pub fn record_usage(&mut self, attempt: AttemptId, used: &Resources) {
         let Some(mut running) = self.running.remove(&attempt) else {
             return;
         };
@@ -302,12 +302,12 @@
     }
 
     /// A worker by its place.
-    pub fn slot(&self, index: usize) -> &Slot {
+    pub fn slot(&self, index: usize) -> &WorkerInfo {
         &self.slots[index]
     }
 
     /// A worker by its name.
-    pub fn slot_of(&self, worker: &WorkerId) -> Option<&Slot> {
+    pub fn worker_info(&self, worker: &WorkerId) -> Option<&WorkerInfo> {
         self.by_id.get(worker).map(|index| &self.slots[*index])
     }
 
@@ -317,7 +317,7 @@
     }
 
     /// All workers.
-    pub fn slots(&self) -> &[Slot] {
+    pub fn slots(&self) -> &[WorkerInfo] {
         &self.slots
     }
 
@@ -337,7 +337,7 @@
     }
 
     /// How many tasks run.
-    pub fn running_len(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
@@ -379,7 +379,7 @@
     }
 
     /// Whether one empty worker of this owner would hold this much.
-    pub fn could_hold(&self, owner: &OwnerName, need: &Resources) -> bool {
+    pub fn could_fit(&self, owner: &OwnerName, need: &Resources) -> bool {
         let Some(pool) = self.pools.get(owner) else {
             return false;
         };
@@ -390,7 +390,7 @@
     }
 
     /// Whether the empty workers of this owner would hold so many tasks at once.
-    pub fn could_hold_all(&self, owner: &OwnerName, need: &Resources, tasks: usize) -> bool {
+    pub fn could_fit_all(&self, owner: &OwnerName, need: &Resources, tasks: usize) -> bool {
         let Some(pool) = self.pools.get(owner) else {
             return false;
         };
@@ -423,7 +423,7 @@
         };
         let slot = &mut self.slots[index];
         slot.reserved = step(&slot.reserved);
-        if running.gives_way() {
+        if running.is_evictable() {
             slot.reclaimable = step(&slot.reclaimable);
         }
         if running.class != Class::Gang {
@@ -485,14 +485,14 @@
             capacity = capacity.plus(&self.slots[*index].capacity);
         }
         let slots = &self.slots;
-        let tree = |room: fn(&Slot) -> Resources| {
+        let tree = |room: fn(&WorkerInfo) -> Resources| {
             let rooms: Vec<Resources> =
                 pool.members.iter().map(|index| room(&slots[*index])).collect();
             FitTree::new(&rooms)
         };
-        pool.free = tree(Slot::free);
-        pool.beneath = tree(Slot::free_beneath);
-        pool.reclaim = tree(Slot::free_reclaimed);
+        pool.free = tree(WorkerInfo::free);
+        pool.beneath = tree(WorkerInfo::free_beneath);
+        pool.reclaim = tree(WorkerInfo::free_reclaimed);
         pool.capacity = capacity;
         pool.growth += 1;
     }
@@ -517,7 +517,7 @@
     }
 }
 
-impl Slot {
+impl WorkerInfo {
     /// What new work can have.
     pub fn free(&self) -> Resources {
         self.free_beneath().minus(&self.claimed)
--- a/crates/placement/src/cell/search.rs
+++ b/crates/placement/src/cell/search.rs
@@ -8,8 +8,8 @@
 use crate::cell::Cell;
 use crate::cell::Pool;
 use crate::cell::Running;
-use crate::cell::Slot;
 use crate::cell::View;
+use crate::cell::WorkerInfo;
 
 /// Workers compared before the best of them is taken.
 const CANDIDATES: usize = 6;
@@ -28,8 +28,8 @@
         let pool = self.pools.get(owner)?;
         let tree = match view {
             View::Free => &pool.free,
-            View::Beneath if pool.claimed.is_zero() => return None,
-            View::Beneath => &pool.beneath,
+            View::IncludingClaimed if pool.claimed.is_zero() => return None,
+            View::IncludingClaimed => &pool.beneath,
         };
         let mut best = None;
         let mut from = 0;
@@ -112,7 +112,7 @@
             let Some(running) = self.running.get(attempt) else {
                 continue;
             };
-            if running.gives_way() {
+            if running.is_evictable() {
                 let ran_ms = now_ms.saturating_sub(running.started_ms);
                 let lost = ran_ms as f64 * running.held().dominant_share(&slot.capacity);
                 candidates.push((running.urgency, lost, *attempt));
@@ -135,7 +135,7 @@
 
     fn siblings(&self, pool: &Pool, index: usize, attempt: AttemptId) -> (usize, usize) {
         let same_job =
-            |slot: &Slot| slot.tasks.iter().filter(|other| other.job == attempt.job).count();
+            |slot: &WorkerInfo| slot.tasks.iter().filter(|other| other.job == attempt.job).count();
         let rack = &self.slots[index].rack;
         let mut on_rack = 0;
         for member in &pool.members {
--- a/crates/placement/src/health.rs
+++ b/crates/placement/src/health.rs
@@ -71,7 +71,7 @@
 
 impl Health {
     /// A task ended well, or has run long enough.
-    pub fn succeeded(&mut self, worker: &WorkerId, entry: &EntryName) {
+    pub fn record_success(&mut self, worker: &WorkerId, entry: &EntryName) {
         let found = self.workers.entry(worker.clone()).or_default();
         found.failed_entries.clear();
         found.failures_in_row = 0;
@@ -86,7 +86,12 @@
     }
 
     /// A task failed by itself.
-    pub fn failed(&mut self, now_ms: UnixMs, worker: &WorkerId, entry: &EntryName) -> Verdict {
+    pub fn record_failure(
+        &mut self,
+        now_ms: UnixMs,
+        worker: &WorkerId,
+        entry: &EntryName,
+    ) -> Verdict {
         let found = self.workers.entry(worker.clone()).or_default();
         found.failed_entries.insert(entry.clone());
         found.failures_in_row += 1;
@@ -120,7 +125,7 @@
     }
 
     /// Whether an entry is held back, and until when.
-    pub fn held_until(&self, now_ms: UnixMs, entry: &EntryName) -> Option<UnixMs> {
+    pub fn held_back_until(&self, now_ms: UnixMs, entry: &EntryName) -> Option<UnixMs> {
         let until_ms = self.entries.get(entry)?.held_until_ms;
         (until_ms > now_ms).then_some(until_ms)
     }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -18,7 +18,7 @@
 pub use cell::Running;
 pub use queue::WaitingJob;
 pub use scheduler::Decision;
-pub use scheduler::End;
 pub use scheduler::Placed;
 pub use scheduler::Policy;
 pub use scheduler::Scheduler;
+pub use scheduler::TaskEnd;
--- a/crates/placement/src/queue.rs
+++ b/crates/placement/src/queue.rs
@@ -51,7 +51,7 @@
 
 /// The jobs of one entry.
 #[derive(Debug)]
-pub struct Line {
+pub struct EntryQueue {
     /// Whose they are.
     pub owner: OwnerName,
     /// The entry.
@@ -66,7 +66,7 @@
 /// All jobs that wait.
 #[derive(Debug, Default)]
 pub struct Queue {
-    lines: BTreeMap<(EntryName, Urgency), Line>,
+    entry_queues: BTreeMap<(EntryName, Urgency), EntryQueue>,
     jobs: HashMap<JobId, (Place, WaitingJob)>,
     deadlines: BTreeSet<(UnixMs, JobId)>,
     tasks: u64,
@@ -89,12 +89,14 @@
         self.next += 1;
         let due_ms = if job.deadline_ms == 0 { UnixMs::MAX } else { job.deadline_ms };
         let place = (due_ms, job.accepted_ms, self.next);
-        let line = self.lines.entry((job.entry.clone(), job.urgency)).or_insert_with(|| Line {
-            owner: job.owner.clone(),
-            entry: job.entry.clone(),
-            urgency: job.urgency,
-            jobs: BTreeMap::new(),
-            blocked_at: None,
+        let line = self.entry_queues.entry((job.entry.clone(), job.urgency)).or_insert_with(|| {
+            EntryQueue {
+                owner: job.owner.clone(),
+                entry: job.entry.clone(),
+                urgency: job.urgency,
+                jobs: BTreeMap::new(),
+                blocked_at: None,
+            }
         });
         line.jobs.insert(place, job.job);
         line.blocked_at = None;
@@ -110,18 +112,18 @@
         self.tasks -= waiting.tasks.len() as u64;
         self.deadlines.remove(&(waiting.deadline_ms, job));
         let key = (waiting.entry.clone(), waiting.urgency);
-        if let Some(line) = self.lines.get_mut(&key) {
+        if let Some(line) = self.entry_queues.get_mut(&key) {
             line.jobs.remove(&place);
             line.blocked_at = None;
             if line.jobs.is_empty() {
-                self.lines.remove(&key);
+                self.entry_queues.remove(&key);
             }
         }
         Some(waiting)
     }
 
     /// Takes the next `count` tasks of a job, and the job itself once none is left.
-    pub fn take(&mut self, job: JobId, count: usize) -> Vec<AttemptId> {
+    pub fn take_tasks(&mut self, job: JobId, count: usize) -> Vec<AttemptId> {
         let Some((_, waiting)) = self.jobs.get_mut(&job) else {
             return Vec::new();
         };
@@ -135,13 +137,17 @@
     }
 
     /// The first jobs of each entry, with the entry's queue.
-    pub fn lines(&self) -> impl Iterator<Item = &Line> {
-        self.lines.values()
+    pub fn entry_queues(&self) -> impl Iterator<Item = &EntryQueue> {
+        self.entry_queues.values()
     }
 
     /// One entry's queue.
-    pub fn line_mut(&mut self, entry: &EntryName, urgency: Urgency) -> Option<&mut Line> {
-        self.lines.get_mut(&(entry.clone(), urgency))
+    pub fn entry_queue_mut(
+        &mut self,
+        entry: &EntryName,
+        urgency: Urgency,
+    ) -> Option<&mut EntryQueue> {
+        self.entry_queues.get_mut(&(entry.clone(), urgency))
     }
 
     /// A job that waits.
@@ -150,7 +156,7 @@
     }
 
     /// Puts a job off.
-    pub fn put_off(&mut self, job: JobId, until_ms: UnixMs) {
+    pub fn defer(&mut self, job: JobId, until_ms: UnixMs) {
         if let Some((_, waiting)) = self.jobs.get_mut(&job) {
             waiting.not_before_ms = until_ms;
         }
@@ -163,8 +169,8 @@
     }
 
     /// How many jobs of one entry wait.
-    pub fn jobs_of(&self, entry: &EntryName, urgency: Urgency) -> usize {
-        let line = self.lines.get(&(entry.clone(), urgency));
+    pub fn job_count(&self, entry: &EntryName, urgency: Urgency) -> usize {
+        let line = self.entry_queues.get(&(entry.clone(), urgency));
         line.map_or(0, |line| line.jobs.len())
     }
 
@@ -173,7 +179,7 @@
         let Some((place, waiting)) = self.jobs.get(&job) else {
             return 0;
         };
-        let line = self.lines.get(&(waiting.entry.clone(), waiting.urgency));
+        let line = self.entry_queues.get(&(waiting.entry.clone(), waiting.urgency));
         line.map_or(0, |line| line.jobs.range(..*place).count())
     }
 
@@ -193,7 +199,7 @@
     }
 }
 
-impl Line {
+impl EntryQueue {
     /// The first jobs, next first.
     pub fn front(&self, count: usize) -> impl Iterator<Item = JobId> + '_ {
         self.jobs.values().take(count).copied()
--- a/crates/placement/src/scheduler/mod.rs
+++ b/crates/placement/src/scheduler/mod.rs
@@ -34,7 +34,7 @@
 use crate::health::PROVED_AFTER_MS;
 use crate::health::Verdict;
 use crate::learned::Learned;
-use crate::queue::Line;
+use crate::queue::EntryQueue;
 use crate::queue::Queue;
 use crate::queue::WaitingJob;
 use crate::reservation::Reservation;
@@ -61,12 +61,17 @@
     /// How long that room is kept.
     pub reserve_ms: u64,
     /// Whether learned demands are used.
-    pub learn: bool,
+    pub use_estimates: bool,
 }
 
 impl Default for Policy {
     fn default() -> Self {
-        Self { aging_ms: 600_000, reserve_after_ms: 30_000, reserve_ms: 60_000, learn: true }
+        Self {
+            aging_ms: 600_000,
+            reserve_after_ms: 30_000,
+            reserve_ms: 60_000,
+            use_estimates: true,
+        }
     }
 }
 
@@ -202,19 +207,19 @@
     }
 
     /// A start did not happen; its room is free again.
-    pub fn not_started(&mut self, now_ms: UnixMs, attempt: AttemptId) {
+    pub fn release_unstarted(&mut self, now_ms: UnixMs, attempt: AttemptId) {
         if let Some(running) = self.cell.remove(attempt) {
             self.check_health(now_ms, &running.worker);
         }
     }
 
     /// A task ended by itself or was stopped, as its worker reports.
-    pub fn ended(
+    pub fn task_ended(
         &mut self,
         now_ms: UnixMs,
         worker: &WorkerId,
         attempt: AttemptId,
-        end: End,
+        end: TaskEnd,
     ) -> Verdict {
         if self.cell.running(attempt).is_none_or(|running| running.worker != *worker) {
             return Verdict::Open;
@@ -224,21 +229,21 @@
         };
         let mut verdict = Verdict::Open;
         match end {
-            End::Succeeded => {
-                self.health.succeeded(&running.worker, &running.entry);
+            TaskEnd::Succeeded => {
+                self.health.record_success(&running.worker, &running.entry);
                 self.learned.record(&running.entry, attempt.job, &running.declared, &running.used);
                 let ran_ms = now_ms.saturating_sub(running.started_ms);
                 self.learned.record_run(&running.entry, ran_ms);
             }
-            End::Failed => {
-                verdict = self.health.failed(now_ms, &running.worker, &running.entry);
+            TaskEnd::Failed => {
+                verdict = self.health.record_failure(now_ms, &running.worker, &running.entry);
                 match verdict {
                     Verdict::WorkerQuarantined => self.counters.quarantines += 1,
                     Verdict::EntryHeldBack => self.counters.held_back += 1,
                     Verdict::Open => {}
                 }
             }
-            End::Stopped => {}
+            TaskEnd::Stopped => {}
         }
         self.check_health(now_ms, &running.worker);
         verdict
@@ -246,13 +251,13 @@
 
     /// Takes what a running task was seen to use; gives tasks that must be
     /// stopped because the worker holds less than it is asked for.
-    pub fn observe(
+    pub fn record_usage(
         &mut self,
         now_ms: UnixMs,
         attempt: AttemptId,
         used: &Resources,
     ) -> Vec<AttemptId> {
-        self.cell.observe(attempt, used);
+        self.cell.record_usage(attempt, used);
         let Some(running) = self.cell.running(attempt) else {
             return Vec::new();
         };
@@ -301,7 +306,7 @@
     }
 
     /// Tries one task that another daemon cannot place on its own workers.
-    pub fn place_one(
+    pub fn place_task(
         &mut self,
         now_ms: UnixMs,
         job: &WaitingJob,
@@ -315,7 +320,7 @@
     }
 
     /// Why a job waits, for people.
-    pub fn why(&mut self, now_ms: UnixMs, job: JobId) -> Vec<String> {
+    pub fn pending_reasons(&mut self, now_ms: UnixMs, job: JobId) -> Vec<String> {
         let Some(waiting) = self.queue.get(job).cloned() else {
             return Vec::new();
         };
@@ -324,7 +329,7 @@
         if ahead > 0 {
             reasons.push(format!("{ahead} jobs of entry {} stand before it", waiting.entry));
         }
-        if let Some(until_ms) = self.health.held_until(now_ms, &waiting.entry) {
+        if let Some(until_ms) = self.health.held_back_until(now_ms, &waiting.entry) {
             let left_ms = until_ms - now_ms;
             reasons.push(format!(
                 "entry {} fails everywhere and is held back for {left_ms} ms",
@@ -379,7 +384,11 @@
 
     /// What to set aside for one task of a job.
     pub fn demand(&self, job: &WaitingJob) -> Resources {
-        if self.policy.learn { self.learned.demand(&job.entry, &job.demand) } else { job.demand }
+        if self.policy.use_estimates {
+            self.learned.demand(&job.entry, &job.demand)
+        } else {
+            job.demand
+        }
     }
 
     fn expire(&mut self, now_ms: UnixMs, decisions: &mut Vec<Decision>) {
@@ -393,7 +402,7 @@
     /// Entries in the order in which they are served.
     fn order(&self, now_ms: UnixMs) -> Vec<(EntryName, Urgency)> {
         let mut keyed = Vec::new();
-        for line in self.queue.lines() {
+        for line in self.queue.entry_queues() {
             if self.is_blocked(now_ms, line) {
                 continue;
             }
@@ -417,7 +426,7 @@
     /// Whether nothing that could matter has changed since the front of an
     /// entry did not fit. Learned demands and rested jobs make no room grow, so
     /// after a while it is looked at all the same.
-    fn is_blocked(&self, now_ms: UnixMs, line: &Line) -> bool {
+    fn is_blocked(&self, now_ms: UnixMs, line: &EntryQueue) -> bool {
         let Some((growth, since_ms)) = line.blocked_at else {
             return false;
         };
@@ -434,10 +443,10 @@
         evictions_left: &mut usize,
         decisions: &mut Vec<Decision>,
     ) -> usize {
-        if self.health.held_until(now_ms, entry).is_some() {
+        if self.health.held_back_until(now_ms, entry).is_some() {
             return 0;
         }
-        let Some(line) = self.queue.line_mut(entry, urgency) else {
+        let Some(line) = self.queue.entry_queue_mut(entry, urgency) else {
             return 0;
         };
         let front: Vec<JobId> = line.front(LOOK_AHEAD_JOBS).collect();
@@ -456,7 +465,7 @@
             self.reserve_if_due(now_ms, &waiting);
         }
         let growth = self.cell.growth(&owner);
-        if let Some(line) = self.queue.line_mut(entry, urgency) {
+        if let Some(line) = self.queue.entry_queue_mut(entry, urgency) {
             line.blocked_at = Some((growth, now_ms));
         }
         0
@@ -465,7 +474,7 @@
 
 /// How a task ended, as far as blame goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum TaskEnd {
     /// By itself, well.
     Succeeded,
     /// By itself, badly.
--- a/crates/placement/src/scheduler/place.rs
+++ b/crates/placement/src/scheduler/place.rs
@@ -54,7 +54,7 @@
             return 0;
         }
         self.drop_reservation_of(job.job);
-        self.queue.take(job.job, tasks.len());
+        self.queue.take_tasks(job.job, tasks.len());
         let placed = tasks.len();
         decisions.push(Decision::Start { job: job.job, tasks });
         placed
@@ -79,9 +79,12 @@
                 self.cell.find_packed(&job.owner, &demand, View::Free)
             }
         };
-        let beneath = || job.class == Class::Batch && job.execution == Execution::Idempotent;
+        let may_use_claimed =
+            || job.class == Class::Batch && job.execution == Execution::Idempotent;
         let found = match found {
-            None if beneath() => self.cell.find_packed(&job.owner, &demand, View::Beneath),
+            None if may_use_claimed() => {
+                self.cell.find_packed(&job.owner, &demand, View::IncludingClaimed)
+            }
             found => found,
         };
         let (index, evict) = match found {
@@ -129,7 +132,7 @@
             demand: placed.demand,
             used: Resources::ZERO,
             started_ms: now_ms,
-            beneath: false,
+            uses_claimed: false,
         };
         self.cell.add(placed.attempt, running);
         self.counters.placed += 1;
--- a/crates/placement/src/scheduler/reserve.rs
+++ b/crates/placement/src/scheduler/reserve.rs
@@ -23,7 +23,7 @@
         let tasks = if job.class == Class::Gang { job.tasks.len() } else { 1 };
         // A gang that is wider than these workers gathers room at several
         // holders; room kept here would only stand in another one's way.
-        if !self.cell.could_hold_all(&job.owner, &need, tasks) {
+        if !self.cell.could_fit_all(&job.owner, &need, tasks) {
             return;
         }
         let until_ms = now_ms + self.policy.reserve_ms;
@@ -58,7 +58,7 @@
             }
             if now_ms >= reservation.until_ms {
                 self.release_claims(&reservation);
-                self.queue.put_off(reservation.job, now_ms + self.policy.reserve_ms);
+                self.queue.defer(reservation.job, now_ms + self.policy.reserve_ms);
                 continue;
             }
             self.reservations.insert(owner, reservation);
@@ -94,7 +94,7 @@
             self.roll_back(&tasks, victims);
             return;
         }
-        self.queue.take(job.job, tasks.len());
+        self.queue.take_tasks(job.job, tasks.len());
         decisions.push(Decision::Start { job: job.job, tasks });
     }
 
--- a/crates/placement/src/scheduler/trust.rs
+++ b/crates/placement/src/scheduler/trust.rs
@@ -19,7 +19,7 @@
             let Some(running) = self.cell.running(attempt).cloned() else {
                 continue;
             };
-            self.health.succeeded(&running.worker, &running.entry);
+            self.health.record_success(&running.worker, &running.entry);
             self.check_health(now_ms, &running.worker);
         }
         let mut over = Vec::new();
--- a/crates/placement/tests/policy.rs
+++ b/crates/placement/tests/policy.rs
@@ -16,10 +16,10 @@
 use stoatwell_model::entry::Weights;
 use stoatwell_model::worker::WorkerState;
 use stoatwell_placement::Decision;
-use stoatwell_placement::End;
 use stoatwell_placement::Placed;
 use stoatwell_placement::Policy;
 use stoatwell_placement::Scheduler;
+use stoatwell_placement::TaskEnd;
 use stoatwell_placement::WaitingJob;
 
 const GIB: u64 = 1 << 30;
@@ -52,7 +52,9 @@
 
 fn proved(mut scheduler: Scheduler, workers: u32) -> Scheduler {
     for number in 0..workers {
-        scheduler.health.succeeded(&WorkerId::new(format!("w{number}")), &EntryName::new("first"));
+        scheduler
+            .health
+            .record_success(&WorkerId::new(format!("w{number}")), &EntryName::new("first"));
     }
     let states: Vec<WorkerId> =
         (0..workers).map(|number| WorkerId::new(format!("w{number}"))).collect();
@@ -117,9 +119,9 @@
             ));
         }
         for task in placed(scheduler.schedule(now_ms, 1_000)) {
-            let end = if task.worker == bad { End::Failed } else { End::Succeeded };
+            let end = if task.worker == bad { TaskEnd::Failed } else { TaskEnd::Succeeded };
             wasted += u32::from(task.worker == bad);
-            scheduler.ended(now_ms, &task.worker, task.attempt, end);
+            scheduler.task_ended(now_ms, &task.worker, task.attempt, end);
         }
     }
     assert!(scheduler.counters.quarantines >= 1);
@@ -138,8 +140,8 @@
         scheduler.enqueue(waiting(step * 2 + 1, "sound", Class::Batch, Urgency::Normal, 6, 500));
         for task in placed(scheduler.schedule(now_ms, 1_000)) {
             let broken = task.attempt.job.0 % 2 == 0;
-            let end = if broken { End::Failed } else { End::Succeeded };
-            scheduler.ended(now_ms, &task.worker, task.attempt, end);
+            let end = if broken { TaskEnd::Failed } else { TaskEnd::Succeeded };
+            scheduler.task_ended(now_ms, &task.worker, task.attempt, end);
         }
     }
     assert!(scheduler.counters.held_back >= 1, "the entry is held back");
@@ -175,7 +177,7 @@
     assert_eq!(placed(scheduler.schedule(0, 100)).len(), 2);
     scheduler.enqueue(waiting(2, "urgent", Class::Batch, Urgency::Urgent, 1, 4_000));
     assert!(placed(scheduler.schedule(1_000, 100)).is_empty());
-    let reasons = scheduler.why(1_000, JobId(2));
+    let reasons = scheduler.pending_reasons(1_000, JobId(2));
     assert!(reasons.iter().any(|reason| reason.contains("processors")), "{reasons:?}");
 }
 
@@ -189,7 +191,7 @@
     let first = placed(scheduler.schedule(0, 100));
     assert_eq!(first.len(), 3, "one of them whole");
     for task in &first {
-        scheduler.ended(1_000, &task.worker, task.attempt, End::Succeeded);
+        scheduler.task_ended(1_000, &task.worker, task.attempt, TaskEnd::Succeeded);
     }
     let second = placed(scheduler.schedule(1_000, 100));
     assert_eq!(second.len(), 3, "then the other");
@@ -223,7 +225,7 @@
             running.into_iter().partition(|(ends_ms, _)| *ends_ms <= now_ms);
         running = still;
         for (_, task) in over {
-            scheduler.ended(now_ms, &task.worker, task.attempt, End::Succeeded);
+            scheduler.task_ended(now_ms, &task.worker, task.attempt, TaskEnd::Succeeded);
         }
     }
     panic!("the large gang still waits after {bound_ms} ms");
@@ -251,8 +253,8 @@
         scheduler.enqueue(waiting(number, "fat", Class::Batch, Urgency::Normal, 2, 3_000));
         let now_ms = number * 1_000;
         for task in placed(scheduler.schedule(now_ms, 100)) {
-            scheduler.observe(now_ms, task.attempt, &truth);
-            scheduler.ended(now_ms, &task.worker, task.attempt, End::Succeeded);
+            scheduler.record_usage(now_ms, task.attempt, &truth);
+            scheduler.task_ended(now_ms, &task.worker, task.attempt, TaskEnd::Succeeded);
         }
     }
     scheduler.enqueue(waiting(900, "fat", Class::Batch, Urgency::Normal, 20, 3_000));
@@ -278,12 +280,12 @@
         if stopped.contains(&task.attempt) {
             continue;
         }
-        for victim in scheduler.observe(5_000, task.attempt, &grown) {
-            scheduler.ended(5_000, &task.worker, victim, End::Stopped);
+        for victim in scheduler.record_usage(5_000, task.attempt, &grown) {
+            scheduler.task_ended(5_000, &task.worker, victim, TaskEnd::Stopped);
             stopped.insert(victim);
         }
     }
-    let slot = scheduler.cell.slot_of(&WorkerId::new("w0")).expect("it is there");
+    let slot = scheduler.cell.worker_info(&WorkerId::new("w0")).expect("it is there");
     assert!(slot.capacity.holds(&slot.reserved), "{:?} of {:?}", slot.reserved, slot.capacity);
 }
 
@@ -295,7 +297,7 @@
     scheduler.set_owner(&OwnerName::new(OWNER), Some(quota), Weights::default());
     scheduler.enqueue(waiting(1, "much", Class::Batch, Urgency::Normal, 20, 2_000));
     assert_eq!(placed(scheduler.schedule(0, 100)).len(), 5);
-    assert!(scheduler.why(0, JobId(1)).iter().any(|reason| reason.contains("quota")));
+    assert!(scheduler.pending_reasons(0, JobId(1)).iter().any(|reason| reason.contains("quota")));
 }
 
 /// An entry's work floods the cell. Its limit keeps room for the others of the
@@ -309,8 +311,13 @@
     let tasks = placed(scheduler.schedule(0, 100));
     assert_eq!(tasks.iter().filter(|task| task.attempt.job == JobId(1)).count(), 3);
     assert_eq!(tasks.iter().filter(|task| task.attempt.job == JobId(2)).count(), 5);
-    assert!(scheduler.why(0, JobId(1)).iter().any(|reason| reason.contains("as many as may")));
-    scheduler.ended(1_000, &tasks[0].worker, tasks[0].attempt, End::Succeeded);
+    assert!(
+        scheduler
+            .pending_reasons(0, JobId(1))
+            .iter()
+            .any(|reason| reason.contains("as many as may"))
+    );
+    scheduler.task_ended(1_000, &tasks[0].worker, tasks[0].attempt, TaskEnd::Succeeded);
     let more = placed(scheduler.schedule(1_000, 100));
     assert!(more.len() <= 1, "one went, one may come");
 }
@@ -324,7 +331,7 @@
     let tasks = placed(scheduler.schedule(0, 100));
     let racks: BTreeSet<String> = tasks
         .iter()
-        .filter_map(|task| scheduler.cell.slot_of(&task.worker))
+        .filter_map(|task| scheduler.cell.worker_info(&task.worker))
         .map(|slot| slot.rack.clone())
         .collect();
     assert_eq!((tasks.len(), racks.len()), (4, 4));
--- a/crates/routing/src/minions.rs
+++ b/crates/routing/src/minions.rs
@@ -47,7 +47,7 @@
 
 /// A slot that was taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Picked {
+pub struct PickedMinion {
     /// The minion.
     pub minion: MinionId,
     /// IP and port.
@@ -58,7 +58,7 @@
 
 /// How a request went, as far as the minion is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestEnd {
     /// Answered, well or badly.
     Answered,
     /// No answer came, or no connection.
@@ -80,7 +80,7 @@
     }
 
     /// Takes what a worker reports of its minions.
-    pub fn put(&mut self, worker: &WorkerId, states: &[MinionState]) {
+    pub fn put_worker(&mut self, worker: &WorkerId, states: &[MinionState]) {
         for state in states {
             let known = self.known.contains_key(&state.minion);
             let minion = self.known.entry(state.minion.clone()).or_insert_with(|| Minion {
@@ -122,7 +122,7 @@
     }
 
     /// Says whom the minions of a worker serve; `None` while it drains.
-    pub fn set_serves(&mut self, worker: &WorkerId, owner: Option<&OwnerName>) {
+    pub fn set_owner(&mut self, worker: &WorkerId, owner: Option<&OwnerName>) {
         for minion in self.known.values_mut() {
             if minion.worker == *worker {
                 minion.serves = owner.cloned();
@@ -131,7 +131,7 @@
     }
 
     /// Takes a slot on the least busy minion of a group, none that failed of late first.
-    pub fn pick(&mut self, now_ms: UnixMs, group: &str, owner: &OwnerName) -> Option<Picked> {
+    pub fn pick(&mut self, now_ms: UnixMs, group: &str, owner: &OwnerName) -> Option<PickedMinion> {
         let members = self.groups.get(group)?;
         self.turn = self.turn.wrapping_add(1);
         let count = members.len();
@@ -153,23 +153,27 @@
         let id = best.map(|(_, _, id)| id.clone())?;
         let minion = self.known.get_mut(&id)?;
         minion.busy += 1;
-        Some(Picked { minion: id, address: minion.address.clone(), worker: minion.worker.clone() })
+        Some(PickedMinion {
+            minion: id,
+            address: minion.address.clone(),
+            worker: minion.worker.clone(),
+        })
     }
 
     /// Gives a slot back.
-    pub fn release(&mut self, now_ms: UnixMs, minion: &MinionId, ending: Ending) {
+    pub fn release(&mut self, now_ms: UnixMs, minion: &MinionId, ending: RequestEnd) {
         let Some(found) = self.known.get_mut(minion) else {
             return;
         };
         found.busy = found.busy.saturating_sub(1);
         match ending {
-            Ending::Answered => {
+            RequestEnd::Answered => {
                 found.failures = 0;
                 found.open_until_ms = 0;
             }
             // Somebody else's requests fill it; the next report tells how many.
-            Ending::Busy => found.inherited = found.limit.saturating_sub(found.busy),
-            Ending::Failed => {
+            RequestEnd::Busy => found.inherited = found.limit.saturating_sub(found.busy),
+            RequestEnd::Failed => {
                 found.failures += 1;
                 // The minion may still be at work on what was given up.
                 found.inherited += 1;
--- a/crates/routing/src/waiting.rs
+++ b/crates/routing/src/request_queue.rs
@@ -7,12 +7,12 @@
 
 /// Waiting requests by group of minions.
 #[derive(Debug, Default)]
-pub struct Waiting {
+pub struct RequestQueue {
     groups: HashMap<String, BTreeSet<(UnixMs, u64)>>,
     len: usize,
 }
 
-impl Waiting {
+impl RequestQueue {
     /// Adds a request under its number.
     pub fn push(&mut self, group: &str, deadline_ms: UnixMs, request: u64) {
         let added = self.groups.entry(group.to_owned()).or_default().insert((deadline_ms, request));
@@ -28,7 +28,7 @@
 
     /// Takes requests whose deadline has passed. Working on them would cost a
     /// slot for an answer that nobody waits for.
-    pub fn expired(&mut self, now_ms: UnixMs) -> Vec<u64> {
+    pub fn take_expired(&mut self, now_ms: UnixMs) -> Vec<u64> {
         let mut expired = Vec::new();
         for group in self.groups.values_mut() {
             while let Some((deadline_ms, request)) = group.first().copied() {
--- a/crates/routing/tests/minions.rs
+++ b/crates/routing/tests/minions.rs
@@ -5,9 +5,9 @@
 use stoatwell_model::WorkerId;
 use stoatwell_model::worker::MinionState;
 use stoatwell_routing::Minions;
+use stoatwell_routing::RequestQueue;
 use stoatwell_routing::RetryBudget;
-use stoatwell_routing::Waiting;
-use stoatwell_routing::minions::Ending;
+use stoatwell_routing::minions::RequestEnd;
 
 fn minions(count: u32, busy: u32) -> (Minions, OwnerName) {
     let mut minions = Minions::new(3, 1_000);
@@ -22,8 +22,8 @@
             connections: 6,
             busy,
         };
-        minions.put(&worker, &[state]);
-        minions.set_serves(&worker, Some(&owner));
+        minions.put_worker(&worker, &[state]);
+        minions.set_owner(&worker, Some(&owner));
     }
     (minions, owner)
 }
@@ -57,7 +57,7 @@
     let (mut minions, owner) = minions(1, 0);
     for _ in 0..3 {
         let picked = minions.pick(0, "sahay", &owner).expect("it is open");
-        minions.release(0, &picked.minion, Ending::Failed);
+        minions.release(0, &picked.minion, RequestEnd::Failed);
     }
     assert_eq!(minions.pick(500, "sahay", &owner), None);
     minions.update(&[MinionState {
@@ -69,7 +69,7 @@
         busy: 0,
     }]);
     let tried = minions.pick(1_500, "sahay", &owner).expect("it is tried again");
-    minions.release(1_500, &tried.minion, Ending::Answered);
+    minions.release(1_500, &tried.minion, RequestEnd::Answered);
     assert!(minions.pick(1_500, "sahay", &owner).is_some());
 }
 
@@ -92,11 +92,11 @@
 /// Requests whose callers have given up would still take slots from others.
 #[test]
 fn late_requests_leave_before_they_cost_a_slot() {
-    let mut waiting = Waiting::default();
+    let mut waiting = RequestQueue::default();
     waiting.push("sahay", 300, 3);
     waiting.push("sahay", 100, 1);
     waiting.push("sahay", 200, 2);
-    assert_eq!(waiting.expired(150), vec![1]);
+    assert_eq!(waiting.take_expired(150), vec![1]);
     assert_eq!(waiting.pop("sahay"), Some(2), "the earliest deadline first");
     assert_eq!((waiting.len(), waiting.pop("other")), (1, None));
 }
