--- a/crates/placement/src/cell/mod.rs
+++ b/crates/placement/src/cell/mod.rs
@@ -1,10 +1,10 @@
-//! The workers of one holder, what runs on them, and what is free.
+//! The workers that one daemon holds, the tasks on them, and their free capacity.
 //!
-//! Every change of a worker goes through [`Cell::refresh`], which keeps three
-//! trees for each owner's workers: what is free, what is free when room kept
-//! for a waiting gang is used too, and what would be free if work that may
-//! give way did. Room is counted by the larger of what was set aside and what
-//! was seen in use, so a worker is never promised more than it holds.
+//! Every change to a worker goes through [`Cell::refresh`], which updates three
+//! trees over each owner's workers: the free capacity, the free capacity including
+//! what is claimed for a reservation, and the capacity that would be free if all
+//! evictable tasks were evicted. A task counts with the larger of its allocation
+//! and its observed usage, so no worker is promised more than its capacity.
 
 mod search;
 
@@ -23,42 +23,42 @@
 
 use crate::tree::FitTree;
 
-/// Added to the rest that a worker would keep, where its accelerators would lie idle.
+/// Added to a worker's cost if its accelerators would stay idle.
 const IDLE_ACCELERATOR_COST: f64 = 4.0;
 
-/// The workers of one holder.
+/// The workers that one daemon holds.
 #[derive(Debug, Default)]
 pub struct Cell {
-    slots: Vec<WorkerInfo>,
-    by_id: HashMap<WorkerId, usize>,
-    pools: BTreeMap<OwnerName, Pool>,
+    workers: Vec<WorkerInfo>,
+    index_by_id: HashMap<WorkerId, usize>,
+    pools: BTreeMap<OwnerName, OwnerPool>,
     running: HashMap<AttemptId, Running>,
-    by_entry: HashMap<EntryName, u32>,
+    running_by_entry: HashMap<EntryName, u32>,
 }
 
-/// One worker.
+/// One worker and its accounting.
 #[derive(Debug)]
 pub struct WorkerInfo {
-    /// The worker.
+    /// Its identifier.
     pub worker: WorkerId,
-    /// Its rack.
+    /// The failure domain over which services are spread.
     pub rack: String,
-    /// What it holds in all.
+    /// Total capacity, including what is in use.
     pub capacity: Resources,
-    /// What something else uses.
+    /// Capacity used by something other than our tasks.
     pub foreign: Resources,
-    /// What is set aside for tasks.
-    pub reserved: Resources,
-    /// Whom it serves.
+    /// Sum over its tasks of the larger of demand and observed usage.
+    pub allocated: Resources,
+    /// The owner that its target names; `None` if the catalogue has no target.
     pub owner: Option<OwnerName>,
-    /// What runs on it.
+    /// Attempts that run on it or are about to.
     pub tasks: Vec<AttemptId>,
     claimed: Resources,
-    reclaimable: Resources,
-    /// Tasks that count against `tasks_max`; a gang's do not, because it starts
-    /// in whole or not at all.
-    counted: u32,
-    /// Whether new work may start, as the catalogue says.
+    evictable: Resources,
+    /// Tasks that count towards `tasks_max`. Gang tasks do not, because a gang
+    /// starts as a whole or not at all.
+    counted_tasks: u32,
+    /// Whether the catalogue allows new work to start here.
     serving: bool,
     quarantined: bool,
     tasks_max: Option<u32>,
@@ -67,70 +67,70 @@
 
 /// The workers that serve one owner.
 #[derive(Debug, Default)]
-struct Pool {
+struct OwnerPool {
     members: Vec<usize>,
     stale: bool,
     free: FitTree,
-    beneath: FitTree,
-    reclaim: FitTree,
-    growth: u64,
+    free_or_claimed: FitTree,
+    free_after_eviction: FitTree,
+    free_generation: u64,
     capacity: Resources,
     used: Resources,
     claimed: Resources,
     quota: Option<Resources>,
 }
 
-/// Which of the trees a search uses.
+/// Which capacity a search may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum View {
-    /// Only what is free.
+pub enum CapacityView {
+    /// Only free capacity.
     Free,
-    /// Also what is kept for a waiting gang.
-    IncludingClaimed,
+    /// Free capacity and what is claimed for a reservation.
+    FreeOrClaimed,
 }
 
 /// A task that runs, or is about to.
 #[derive(Clone, Debug)]
 pub struct Running {
-    /// The worker.
+    /// The worker it is placed on.
     pub worker: WorkerId,
-    /// Whose it is.
+    /// The owner whose quota it counts towards.
     pub owner: OwnerName,
-    /// Its entry.
+    /// The catalogue entry it belongs to.
     pub entry: EntryName,
-    /// Its class.
+    /// Class of its entry.
     pub class: Class,
-    /// Its promise.
+    /// How often it may run.
     pub execution: Execution,
-    /// Its urgency.
+    /// Urgency of its entry.
     pub urgency: Urgency,
-    /// What it was declared to need.
+    /// Demand that was declared for it.
     pub declared: Resources,
-    /// What is set aside for it.
+    /// Capacity that is allocated for it; may be an estimate from past usage.
     pub demand: Resources,
-    /// The most it was seen to use.
+    /// Peak of the usage observed so far.
     pub used: Resources,
-    /// When it was started.
+    /// When it was placed, or adopted from its worker's report.
     pub started_ms: UnixMs,
-    /// Whether it uses room that is kept for a waiting gang.
+    /// Whether it uses capacity that is claimed for a reservation.
     pub uses_claimed: bool,
 }
 
 impl Running {
-    /// Whether it may be stopped to make room for urgent work.
+    /// Whether it may be stopped to make room for other work.
     pub fn is_evictable(&self) -> bool {
         self.class == Class::Batch
             && self.execution != Execution::AtMostOnce
             && self.urgency != Urgency::Urgent
     }
 
-    fn held(&self) -> Resources {
+    fn footprint(&self) -> Resources {
         self.demand.max(&self.used)
     }
 }
 
 impl Cell {
-    /// Adds a worker or takes over its new capacity.
+    /// Adds a worker, or updates its total and foreign capacity.
     pub fn put_worker(
         &mut self,
         worker: &WorkerId,
@@ -138,312 +138,314 @@
         capacity: Resources,
         foreign: Resources,
     ) {
-        if let Some(index) = self.by_id.get(worker).copied() {
-            let slot = &mut self.slots[index];
-            let resized = slot.capacity != capacity;
-            slot.capacity = capacity;
-            slot.foreign = foreign;
+        if let Some(index) = self.index_by_id.get(worker).copied() {
+            let info = &mut self.workers[index];
+            let resized = info.capacity != capacity;
+            info.capacity = capacity;
+            info.foreign = foreign;
             if resized {
                 self.mark_stale(index);
             }
             self.refresh(index);
             return;
         }
-        let index = self.slots.len();
-        self.slots.push(WorkerInfo {
+        let index = self.workers.len();
+        self.workers.push(WorkerInfo {
             worker: worker.clone(),
             rack: rack.to_owned(),
             capacity,
             foreign,
-            reserved: Resources::ZERO,
+            allocated: Resources::ZERO,
             owner: None,
             tasks: Vec::new(),
             claimed: Resources::ZERO,
-            reclaimable: Resources::ZERO,
-            counted: 0,
+            evictable: Resources::ZERO,
+            counted_tasks: 0,
             serving: false,
             quarantined: false,
             tasks_max: None,
             position: 0,
         });
-        self.by_id.insert(worker.clone(), index);
+        self.index_by_id.insert(worker.clone(), index);
     }
 
-    /// Takes a worker out with all that runs on it.
+    /// Removes a worker and returns the attempts that were placed on it.
     pub fn remove_worker(&mut self, worker: &WorkerId) -> Vec<AttemptId> {
-        let Some(index) = self.by_id.get(worker).copied() else {
+        let Some(index) = self.index_by_id.get(worker).copied() else {
             return Vec::new();
         };
-        let tasks = self.slots[index].tasks.clone();
+        let tasks = self.workers[index].tasks.clone();
         for attempt in &tasks {
             self.remove(*attempt);
         }
         self.set_target(worker, None, false);
-        self.by_id.remove(worker);
-        let last = self.slots.len() - 1;
-        self.slots.swap_remove(index);
+        self.index_by_id.remove(worker);
+        let last = self.workers.len() - 1;
+        self.workers.swap_remove(index);
         if index != last {
-            let moved = self.slots[index].worker.clone();
-            self.by_id.insert(moved, index);
-            if let Some(owner) = self.slots[index].owner.clone()
+            let moved = self.workers[index].worker.clone();
+            self.index_by_id.insert(moved, index);
+            if let Some(owner) = self.workers[index].owner.clone()
                 && let Some(pool) = self.pools.get_mut(&owner)
             {
-                pool.members[self.slots[index].position] = index;
+                pool.members[self.workers[index].position] = index;
             }
         }
         tasks
     }
 
-    /// Says whom a worker serves and whether new work may start there.
+    /// Sets the owner that a worker serves and whether new work may start there.
     pub fn set_target(&mut self, worker: &WorkerId, owner: Option<&OwnerName>, serving: bool) {
-        let Some(index) = self.by_id.get(worker).copied() else {
+        let Some(index) = self.index_by_id.get(worker).copied() else {
             return;
         };
-        if self.slots[index].owner.as_ref() != owner {
+        if self.workers[index].owner.as_ref() != owner {
             self.leave_pool(index);
-            self.slots[index].owner = owner.cloned();
+            self.workers[index].owner = owner.cloned();
             if let Some(owner) = owner {
                 let pool = self.pools.entry(owner.clone()).or_default();
                 pool.members.push(index);
                 pool.stale = true;
             }
         }
-        self.slots[index].serving = serving;
+        self.workers[index].serving = serving;
         self.refresh(index);
     }
 
-    /// Says whether a worker is left alone and how many tasks it may run.
+    /// Sets whether a worker is quarantined and how many tasks it may run; `None` is no limit.
     pub fn set_health(&mut self, worker: &WorkerId, quarantined: bool, tasks_max: Option<u32>) {
-        let Some(index) = self.by_id.get(worker).copied() else {
+        let Some(index) = self.index_by_id.get(worker).copied() else {
             return;
         };
-        let slot = &mut self.slots[index];
-        if slot.quarantined == quarantined && slot.tasks_max == tasks_max {
+        let info = &mut self.workers[index];
+        if info.quarantined == quarantined && info.tasks_max == tasks_max {
             return;
         }
-        slot.quarantined = quarantined;
-        slot.tasks_max = tasks_max;
+        info.quarantined = quarantined;
+        info.tasks_max = tasks_max;
         self.refresh(index);
     }
 
-    /// The most that an owner's running work may hold here; `None` is no limit.
+    /// Sets the capacity that an owner's tasks may use here; `None` is no limit.
     pub fn set_quota(&mut self, owner: &OwnerName, quota: Option<Resources>) {
         let pool = self.pools.entry(owner.clone()).or_default();
         if pool.quota != quota {
             pool.quota = quota;
-            pool.growth += 1;
+            pool.free_generation += 1;
         }
     }
 
-    /// Sets room aside for a task.
+    /// Allocates capacity for a task.
     pub fn add(&mut self, attempt: AttemptId, running: Running) {
-        // The same attempt may have been promised room for another daemon before.
+        // Capacity may already be reserved for the same attempt on behalf of another daemon.
         self.remove(attempt);
-        let Some(index) = self.by_id.get(&running.worker).copied() else {
+        let Some(index) = self.index_by_id.get(&running.worker).copied() else {
             return;
         };
-        self.slots[index].tasks.push(attempt);
-        self.account(index, &running, true);
-        *self.by_entry.entry(running.entry.clone()).or_default() += 1;
+        self.workers[index].tasks.push(attempt);
+        self.update_totals(index, &running, true);
+        *self.running_by_entry.entry(running.entry.clone()).or_default() += 1;
         self.running.insert(attempt, running);
         self.refresh(index);
     }
 
-    /// Gives a task's room back.
+    /// Releases the capacity of a task.
     pub fn remove(&mut self, attempt: AttemptId) -> Option<Running> {
         let running = self.running.remove(&attempt)?;
-        if let Some(count) = self.by_entry.get_mut(&running.entry) {
+        if let Some(count) = self.running_by_entry.get_mut(&running.entry) {
             *count = count.saturating_sub(1);
         }
-        let index = self.by_id.get(&running.worker).copied()?;
-        self.slots[index].tasks.retain(|other| *other != attempt);
-        self.account(index, &running, false);
+        let index = self.index_by_id.get(&running.worker).copied()?;
+        self.workers[index].tasks.retain(|other| *other != attempt);
+        self.update_totals(index, &running, false);
         self.refresh(index);
         Some(running)
     }
 
-    /// Takes what a task was seen to use.
+    /// Updates the peak usage of a task.
     pub fn record_usage(&mut self, attempt: AttemptId, used: &Resources) {
         let Some(mut running) = self.running.remove(&attempt) else {
             return;
         };
-        let Some(index) = self.by_id.get(&running.worker).copied() else {
+        let Some(index) = self.index_by_id.get(&running.worker).copied() else {
             return;
         };
-        self.account(index, &running, false);
+        self.update_totals(index, &running, false);
         running.used = running.used.max(used);
-        self.account(index, &running, true);
+        self.update_totals(index, &running, true);
         self.running.insert(attempt, running);
         self.refresh(index);
     }
 
-    /// Keeps room on a worker for a waiting gang.
+    /// Claims capacity of a worker for a reservation.
     pub fn claim(&mut self, index: usize, need: &Resources) {
-        self.slots[index].claimed = self.slots[index].claimed.plus(need);
+        self.workers[index].claimed = self.workers[index].claimed.plus(need);
         if let Some(pool) = self.pool_of(index) {
             pool.claimed = pool.claimed.plus(need);
         }
         self.refresh(index);
     }
 
-    /// Gives kept room back.
+    /// Releases claimed capacity.
     pub fn unclaim(&mut self, index: usize, need: &Resources) {
-        self.slots[index].claimed = self.slots[index].claimed.minus(need);
+        self.workers[index].claimed = self.workers[index].claimed.minus(need);
         if let Some(pool) = self.pool_of(index) {
             pool.claimed = pool.claimed.minus(need);
         }
         self.refresh(index);
     }
 
-    /// Workers on which more is in use than they hold, most patient tasks first.
-    pub fn overfull(&self, index: usize) -> bool {
-        let slot = &self.slots[index];
-        !slot.capacity.holds(&slot.reserved.plus(&slot.foreign))
+    /// Whether tasks and foreign work use more than the worker's capacity.
+    pub fn is_overcommitted(&self, index: usize) -> bool {
+        let info = &self.workers[index];
+        !info.capacity.holds(&info.allocated.plus(&info.foreign))
     }
 
-    /// A worker by its place.
-    pub fn slot(&self, index: usize) -> &WorkerInfo {
-        &self.slots[index]
+    /// The worker at an index; see [`Cell::index_of`].
+    pub fn worker_at(&self, index: usize) -> &WorkerInfo {
+        &self.workers[index]
     }
 
-    /// A worker by its name.
+    /// A worker by its identifier; `None` if this daemon does not hold it.
     pub fn worker_info(&self, worker: &WorkerId) -> Option<&WorkerInfo> {
-        self.by_id.get(worker).map(|index| &self.slots[*index])
+        self.index_by_id.get(worker).map(|index| &self.workers[*index])
     }
 
-    /// The place of a worker.
+    /// Index of a worker, valid until any worker is removed; `None` if it is not held.
     pub fn index_of(&self, worker: &WorkerId) -> Option<usize> {
-        self.by_id.get(worker).copied()
+        self.index_by_id.get(worker).copied()
     }
 
-    /// All workers.
-    pub fn slots(&self) -> &[WorkerInfo] {
-        &self.slots
+    /// All workers, by index.
+    pub fn workers(&self) -> &[WorkerInfo] {
+        &self.workers
     }
 
-    /// A task that runs.
+    /// A task that is placed on one of these workers.
     pub fn running(&self, attempt: AttemptId) -> Option<&Running> {
         self.running.get(&attempt)
     }
 
-    /// How many tasks of an entry run.
-    pub fn running_of(&self, entry: &EntryName) -> u32 {
-        self.by_entry.get(entry).copied().unwrap_or(0)
+    /// Number of tasks of an entry that run here.
+    pub fn running_count_of(&self, entry: &EntryName) -> u32 {
+        self.running_by_entry.get(entry).copied().unwrap_or(0)
     }
 
-    /// Every task that runs.
+    /// All tasks that are placed on these workers.
     pub fn all_running(&self) -> impl Iterator<Item = (&AttemptId, &Running)> {
         self.running.iter()
     }
 
-    /// How many tasks run.
+    /// Number of tasks placed on these workers.
     pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
-    /// Rises whenever more room appears for an owner.
-    pub fn growth(&self, owner: &OwnerName) -> u64 {
-        self.pools.get(owner).map_or(0, |pool| pool.growth)
+    /// Counter that rises whenever capacity becomes available to an owner.
+    pub fn free_generation(&self, owner: &OwnerName) -> u64 {
+        self.pools.get(owner).map_or(0, |pool| pool.free_generation)
     }
 
-    /// What an owner's workers hold in all, and what its work holds of it.
+    /// Total capacity of an owner's workers, and how much of it the owner's tasks use.
     pub fn usage(&self, owner: &OwnerName) -> (Resources, Resources) {
         self.pools
             .get(owner)
             .map_or((Resources::ZERO, Resources::ZERO), |pool| (pool.capacity, pool.used))
     }
 
-    /// What an owner may hold here.
+    /// Capacity that an owner's tasks may use here; `None` is no limit.
     pub fn quota(&self, owner: &OwnerName) -> Option<Resources> {
         self.pools.get(owner)?.quota
     }
 
-    /// The most that is free on one worker, each resource perhaps on another.
+    /// Largest free amount of each resource on any one worker; the amounts may be
+    /// on different workers.
     pub fn largest_free(&mut self, owner: &OwnerName) -> Resources {
-        self.settle(owner);
+        self.rebuild_if_stale(owner);
         self.pools.get(owner).map_or(Resources::ZERO, |pool| pool.free.largest())
     }
 
-    /// Owners that have workers here.
+    /// Owners that at least one worker here serves.
     pub fn owners(&self) -> impl Iterator<Item = &OwnerName> {
         self.pools.iter().filter(|(_, pool)| !pool.members.is_empty()).map(|(owner, _)| owner)
     }
 
-    /// Brings what is known of every owner's workers up to date.
-    pub fn settle_all(&mut self) {
+    /// Rebuilds the trees and capacities of all owners whose workers changed.
+    pub fn rebuild_stale_pools(&mut self) {
         let stale = self.pools.iter().filter(|(_, pool)| pool.stale);
         let owners: Vec<OwnerName> = stale.map(|(owner, _)| owner.clone()).collect();
         for owner in owners {
-            self.settle(&owner);
+            self.rebuild_if_stale(&owner);
         }
     }
 
-    /// Whether one empty worker of this owner would hold this much.
+    /// Whether a serving worker of this owner would fit this demand if it were empty.
     pub fn could_fit(&self, owner: &OwnerName, need: &Resources) -> bool {
         let Some(pool) = self.pools.get(owner) else {
             return false;
         };
         pool.members.iter().any(|index| {
-            let slot = &self.slots[*index];
-            slot.serving && slot.capacity.holds(need)
+            let info = &self.workers[*index];
+            info.serving && info.capacity.holds(need)
         })
     }
 
-    /// Whether the empty workers of this owner would hold so many tasks at once.
+    /// Whether the serving workers of this owner would fit this many tasks if they were empty.
     pub fn could_fit_all(&self, owner: &OwnerName, need: &Resources, tasks: usize) -> bool {
         let Some(pool) = self.pools.get(owner) else {
             return false;
         };
-        let mut room = 0;
+        let mut fitting_tasks = 0;
         for index in &pool.members {
-            let slot = &self.slots[*index];
-            if slot.serving {
-                room += slot.capacity.times_held(need);
+            let info = &self.workers[*index];
+            if info.serving {
+                fitting_tasks += info.capacity.times_held(need);
             }
         }
-        room >= tasks as u64
+        fitting_tasks >= tasks as u64
     }
 
-    /// The most that one empty worker of this owner holds, resource by resource.
+    /// Largest capacity of each resource among this owner's serving workers.
     pub fn largest(&self, owner: &OwnerName) -> Resources {
         let mut largest = Resources::ZERO;
         for index in self.pools.get(owner).into_iter().flat_map(|pool| &pool.members) {
-            let slot = &self.slots[*index];
-            if slot.serving {
-                largest = largest.max(&slot.capacity);
+            let info = &self.workers[*index];
+            if info.serving {
+                largest = largest.max(&info.capacity);
             }
         }
         largest
     }
 
-    fn account(&mut self, index: usize, running: &Running, added: bool) {
-        let held = running.held();
-        let step = |sum: &Resources| {
-            if added { sum.plus(&held) } else { sum.minus(&held) }
+    fn update_totals(&mut self, index: usize, running: &Running, added: bool) {
+        let footprint = running.footprint();
+        let adjust = |sum: &Resources| {
+            if added { sum.plus(&footprint) } else { sum.minus(&footprint) }
         };
-        let slot = &mut self.slots[index];
-        slot.reserved = step(&slot.reserved);
+        let info = &mut self.workers[index];
+        info.allocated = adjust(&info.allocated);
         if running.is_evictable() {
-            slot.reclaimable = step(&slot.reclaimable);
+            info.evictable = adjust(&info.evictable);
         }
         if running.class != Class::Gang {
-            slot.counted = if added { slot.counted + 1 } else { slot.counted.saturating_sub(1) };
+            info.counted_tasks =
+                if added { info.counted_tasks + 1 } else { info.counted_tasks.saturating_sub(1) };
         }
         if let Some(pool) = self.pools.get_mut(&running.owner) {
-            pool.used = step(&pool.used);
+            pool.used = adjust(&pool.used);
             if !added {
-                pool.growth += 1;
+                pool.free_generation += 1;
             }
         }
     }
 
-    fn pool_of(&mut self, index: usize) -> Option<&mut Pool> {
-        let owner = self.slots[index].owner.as_ref()?;
+    fn pool_of(&mut self, index: usize) -> Option<&mut OwnerPool> {
+        let owner = self.workers[index].owner.as_ref()?;
         self.pools.get_mut(owner)
     }
 
     fn leave_pool(&mut self, index: usize) {
-        let position = self.slots[index].position;
+        let position = self.workers[index].position;
         let Some(pool) = self.pool_of(index) else {
             return;
         };
@@ -455,7 +457,7 @@
         pool.stale = true;
         let members = pool.members.clone();
         for (position, member) in members.into_iter().enumerate() {
-            self.slots[member].position = position;
+            self.workers[member].position = position;
         }
     }
 
@@ -465,9 +467,9 @@
         }
     }
 
-    /// Rebuilds an owner's trees after workers came or went. Workers without
-    /// accelerators stand first, so that plain work does not fill the others.
-    pub fn settle(&mut self, owner: &OwnerName) {
+    /// Rebuilds an owner's trees after workers were added, removed or resized. Workers
+    /// without accelerators come first, so that tasks that need none do not fill the others.
+    pub fn rebuild_if_stale(&mut self, owner: &OwnerName) {
         let Some(pool) = self.pools.get_mut(owner) else {
             return;
         };
@@ -476,31 +478,32 @@
         }
         pool.stale = false;
         pool.members.sort_by_key(|index| {
-            let slot = &self.slots[*index];
-            (slot.capacity.accelerators, slot.worker.clone())
+            let info = &self.workers[*index];
+            (info.capacity.accelerators, info.worker.clone())
         });
         let mut capacity = Resources::ZERO;
         for (position, index) in pool.members.iter().enumerate() {
-            self.slots[*index].position = position;
-            capacity = capacity.plus(&self.slots[*index].capacity);
+            self.workers[*index].position = position;
+            capacity = capacity.plus(&self.workers[*index].capacity);
         }
-        let slots = &self.slots;
-        let tree = |room: fn(&WorkerInfo) -> Resources| {
-            let rooms: Vec<Resources> =
-                pool.members.iter().map(|index| room(&slots[*index])).collect();
-            FitTree::new(&rooms)
+        let workers = &self.workers;
+        let tree = |capacity_of: fn(&WorkerInfo) -> Resources| {
+            let capacities: Vec<Resources> =
+                pool.members.iter().map(|index| capacity_of(&workers[*index])).collect();
+            FitTree::new(&capacities)
         };
         pool.free = tree(WorkerInfo::free);
-        pool.beneath = tree(WorkerInfo::free_beneath);
-        pool.reclaim = tree(WorkerInfo::free_reclaimed);
+        pool.free_or_claimed = tree(WorkerInfo::free_or_claimed);
+        pool.free_after_eviction = tree(WorkerInfo::free_after_eviction);
         pool.capacity = capacity;
-        pool.growth += 1;
+        pool.free_generation += 1;
     }
 
     fn refresh(&mut self, index: usize) {
-        let slot = &self.slots[index];
-        let (free, beneath, reclaim) = (slot.free(), slot.free_beneath(), slot.free_reclaimed());
-        let position = slot.position;
+        let info = &self.workers[index];
+        let (free, free_or_claimed, free_after_eviction) =
+            (info.free(), info.free_or_claimed(), info.free_after_eviction());
+        let position = info.position;
         let Some(pool) = self.pool_of(index) else {
             return;
         };
@@ -509,59 +512,59 @@
         }
         let before = pool.free.get(position);
         if !before.holds(&free) {
-            pool.growth += 1;
+            pool.free_generation += 1;
         }
         pool.free.set(position, free);
-        pool.beneath.set(position, beneath);
-        pool.reclaim.set(position, reclaim);
+        pool.free_or_claimed.set(position, free_or_claimed);
+        pool.free_after_eviction.set(position, free_after_eviction);
     }
 }
 
 impl WorkerInfo {
-    /// What new work can have.
+    /// Capacity available to new work.
     pub fn free(&self) -> Resources {
-        self.free_beneath().minus(&self.claimed)
+        self.free_or_claimed().minus(&self.claimed)
     }
 
-    /// What new work can have, room kept for a waiting gang included.
-    pub fn free_beneath(&self) -> Resources {
-        if !self.is_open() {
+    /// Capacity available to new work, including what is claimed for a reservation.
+    pub fn free_or_claimed(&self) -> Resources {
+        if !self.can_start_task() {
             return Resources::ZERO;
         }
-        self.capacity.minus(&self.foreign).minus(&self.reserved)
+        self.capacity.minus(&self.foreign).minus(&self.allocated)
     }
 
-    /// Whether new work may start now.
-    pub fn is_open(&self) -> bool {
-        let under_limit = self.tasks_max.is_none_or(|limit| self.counted < limit);
-        self.takes_work() && under_limit
+    /// Whether a task may start now: the worker is schedulable and below its task limit.
+    pub fn can_start_task(&self) -> bool {
+        let under_limit = self.tasks_max.is_none_or(|limit| self.counted_tasks < limit);
+        self.is_schedulable() && under_limit
     }
 
-    /// Whether work may be placed on it at all.
-    pub fn takes_work(&self) -> bool {
+    /// Whether its target is serving and it is not quarantined.
+    pub fn is_schedulable(&self) -> bool {
         self.serving && !self.quarantined
     }
 
-    /// Whether it is left alone because it fails.
+    /// Whether it gets no new work because tasks kept failing on it.
     pub fn is_quarantined(&self) -> bool {
         self.quarantined
     }
 
-    fn free_reclaimed(&self) -> Resources {
-        if !self.takes_work() {
+    fn free_after_eviction(&self) -> Resources {
+        if !self.is_schedulable() {
             return Resources::ZERO;
         }
-        self.capacity.plus(&self.reclaimable).minus(&self.foreign).minus(&self.reserved)
+        self.capacity.plus(&self.evictable).minus(&self.foreign).minus(&self.allocated)
     }
 
-    fn rest_after(&self, free: &Resources, need: &Resources) -> f64 {
-        let rest = free.minus(need);
-        let part = |rest: u64, all: u64| {
-            if all == 0 { 0.0 } else { rest as f64 / all as f64 }
+    fn leftover_cost(&self, free: &Resources, need: &Resources) -> f64 {
+        let leftover = free.minus(need);
+        let fraction = |part: u64, whole: u64| {
+            if whole == 0 { 0.0 } else { part as f64 / whole as f64 }
         };
-        let sum = part(rest.cpu_millis, self.capacity.cpu_millis)
-            + part(rest.memory_bytes, self.capacity.memory_bytes);
-        let idles = need.accelerators == 0 && rest.accelerators > 0;
-        if idles { sum + IDLE_ACCELERATOR_COST } else { sum }
+        let cost = fraction(leftover.cpu_millis, self.capacity.cpu_millis)
+            + fraction(leftover.memory_bytes, self.capacity.memory_bytes);
+        let idles_accelerators = need.accelerators == 0 && leftover.accelerators > 0;
+        if idles_accelerators { cost + IDLE_ACCELERATOR_COST } else { cost }
     }
 }
--- a/crates/placement/src/health.rs
+++ b/crates/placement/src/health.rs
@@ -1,10 +1,10 @@
-//! Who fails whom: workers that fail everything, entries that fail everywhere.
+//! Failure tracking: quarantine of workers and hold-back of entries.
 //!
-//! One failure says little. A worker that failed several different entries
-//! without a success between is to blame itself; an entry that failed on
-//! several workers that do well with others is. A worker that fails at once
-//! looks empty and draws all work to it, so a worker that has yet to prove
-//! itself gets few tasks at a time.
+//! A single failure is weak evidence. If tasks of several different entries fail
+//! on a worker without a success in between, the worker is considered faulty. If
+//! an entry fails on several workers that run other entries well, the entry is.
+//! A worker on which every task fails immediately looks empty and attracts all
+//! work, so an unproven worker gets only a few tasks at a time.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -13,27 +13,27 @@
 use stoatwell_model::UnixMs;
 use stoatwell_model::WorkerId;
 
-/// Different entries that must fail in a row before a worker is quarantined.
-const ENTRIES_TO_BLAME_WORKER: usize = 3;
-/// Failures in a row that quarantine a worker even where they are of one entry
-/// that does well elsewhere.
-const FAILURES_TO_BLAME_WORKER: u32 = 12;
-/// Different workers on which an entry must fail in a row before it is held back.
-const WORKERS_TO_BLAME_ENTRY: usize = 3;
-/// Failures in a row, on workers that do well with others, that hold an entry back.
-const FAILURES_TO_BLAME_ENTRY: u32 = 8;
-/// Tasks at once on a worker that has not proved itself.
+/// Number of different entries that must fail in a row before a worker is quarantined.
+const QUARANTINE_ENTRIES: usize = 3;
+/// Consecutive failures that quarantine a worker even if they are all of one
+/// entry, as long as that entry does not fail on other workers.
+const QUARANTINE_FAILURES: u32 = 12;
+/// Number of different workers on which an entry must fail in a row before it is held back.
+const HOLD_BACK_WORKERS: usize = 3;
+/// Consecutive failures on proven workers after which an entry is held back.
+const HOLD_BACK_FAILURES: u32 = 8;
+/// Maximum number of concurrent tasks on an unproven worker.
 pub const UNPROVEN_TASKS_MAX: u32 = 4;
-/// Running this long proves a worker as well as a success does.
-pub const PROVED_AFTER_MS: u64 = 2_000;
+/// A task that has run this long proves its worker, as a task that succeeds does.
+pub const PROVEN_AFTER_MS: u64 = 2_000;
 const QUARANTINE_MS: u64 = 30_000;
 const QUARANTINE_MS_MAX: u64 = 30 * 60_000;
-/// Time for which a worker back from quarantine gets only work that may be repeated.
+/// Time after a quarantine during which a worker only gets work that may be repeated.
 const PROBATION_MS: u64 = 10_000;
 const HOLD_BACK_MS: u64 = 10_000;
 const HOLD_BACK_MS_MAX: u64 = 10 * 60_000;
 
-/// Failures of workers and entries.
+/// Failure history of workers and entries.
 #[derive(Debug, Default)]
 pub struct Health {
     workers: HashMap<WorkerId, WorkerHealth>,
@@ -44,7 +44,7 @@
 struct WorkerHealth {
     failed_entries: HashSet<EntryName>,
     failures_in_row: u32,
-    proved: bool,
+    proven: bool,
     quarantine_until_ms: UnixMs,
     quarantines: u32,
 }
@@ -52,122 +52,123 @@
 #[derive(Debug, Default)]
 struct EntryHealth {
     failed_workers: HashSet<WorkerId>,
-    /// Failures in a row on workers that do well with other entries.
+    /// Consecutive failures on proven workers.
     failures_in_row: u32,
-    held_until_ms: UnixMs,
-    holds: u32,
+    held_back_until_ms: UnixMs,
+    hold_backs: u32,
 }
 
-/// What a failure led to.
+/// Consequence of a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Too little is known.
-    Open,
-    /// The worker is left alone for a while.
+    /// There is too little evidence against either side.
+    Inconclusive,
+    /// The worker gets no new tasks until its quarantine ends.
     WorkerQuarantined,
-    /// The entry is held back for a while.
+    /// No tasks of the entry start until its hold-back ends.
     EntryHeldBack,
 }
 
 impl Health {
-    /// A task ended well, or has run long enough.
+    /// Records that a task succeeded, or that it has run for [`PROVEN_AFTER_MS`].
     pub fn record_success(&mut self, worker: &WorkerId, entry: &EntryName) {
-        let found = self.workers.entry(worker.clone()).or_default();
-        found.failed_entries.clear();
-        found.failures_in_row = 0;
-        found.proved = true;
-        found.quarantines = 0;
-        found.quarantine_until_ms = 0;
-        if let Some(found) = self.entries.get_mut(entry) {
-            found.failed_workers.clear();
-            found.failures_in_row = 0;
-            found.holds = 0;
+        let worker_health = self.workers.entry(worker.clone()).or_default();
+        worker_health.failed_entries.clear();
+        worker_health.failures_in_row = 0;
+        worker_health.proven = true;
+        worker_health.quarantines = 0;
+        worker_health.quarantine_until_ms = 0;
+        if let Some(entry_health) = self.entries.get_mut(entry) {
+            entry_health.failed_workers.clear();
+            entry_health.failures_in_row = 0;
+            entry_health.hold_backs = 0;
         }
     }
 
-    /// A task failed by itself.
+    /// Records that a task failed without having been told to stop.
     pub fn record_failure(
         &mut self,
         now_ms: UnixMs,
         worker: &WorkerId,
         entry: &EntryName,
     ) -> Verdict {
-        let found = self.workers.entry(worker.clone()).or_default();
-        found.failed_entries.insert(entry.clone());
-        found.failures_in_row += 1;
-        let suspect_worker = found.failed_entries.len() >= ENTRIES_TO_BLAME_WORKER;
-        let by_count = found.failures_in_row >= FAILURES_TO_BLAME_WORKER
+        let worker_health = self.workers.entry(worker.clone()).or_default();
+        worker_health.failed_entries.insert(entry.clone());
+        worker_health.failures_in_row += 1;
+        let many_entries_failed = worker_health.failed_entries.len() >= QUARANTINE_ENTRIES;
+        let many_failures_only_here = worker_health.failures_in_row >= QUARANTINE_FAILURES
             && !self.fails_elsewhere(worker, entry);
-        if suspect_worker || by_count {
+        if many_entries_failed || many_failures_only_here {
             self.quarantine(now_ms, worker);
             return Verdict::WorkerQuarantined;
         }
-        let does_well = self.workers.get(worker).is_some_and(|found| found.proved);
-        let found = self.entries.entry(entry.clone()).or_default();
-        found.failed_workers.insert(worker.clone());
-        found.failures_in_row += u32::from(does_well);
-        let by_workers = found.failed_workers.len() >= WORKERS_TO_BLAME_ENTRY;
-        if by_workers || found.failures_in_row >= FAILURES_TO_BLAME_ENTRY {
-            let backoff_ms = HOLD_BACK_MS << found.holds.min(8);
-            found.held_until_ms = now_ms + backoff_ms.min(HOLD_BACK_MS_MAX);
-            found.holds += 1;
-            found.failed_workers.clear();
-            found.failures_in_row = 0;
+        let is_proven = self.workers.get(worker).is_some_and(|health| health.proven);
+        let entry_health = self.entries.entry(entry.clone()).or_default();
+        entry_health.failed_workers.insert(worker.clone());
+        entry_health.failures_in_row += u32::from(is_proven);
+        let failed_on_many_workers = entry_health.failed_workers.len() >= HOLD_BACK_WORKERS;
+        if failed_on_many_workers || entry_health.failures_in_row >= HOLD_BACK_FAILURES {
+            let backoff_ms = HOLD_BACK_MS << entry_health.hold_backs.min(8);
+            entry_health.held_back_until_ms = now_ms + backoff_ms.min(HOLD_BACK_MS_MAX);
+            entry_health.hold_backs += 1;
+            entry_health.failed_workers.clear();
+            entry_health.failures_in_row = 0;
             return Verdict::EntryHeldBack;
         }
-        Verdict::Open
+        Verdict::Inconclusive
     }
 
-    /// Whether a worker is left alone, and until when.
+    /// End of a worker's quarantine, or `None` if it is not in quarantine.
     pub fn quarantined_until(&self, now_ms: UnixMs, worker: &WorkerId) -> Option<UnixMs> {
         let until_ms = self.workers.get(worker)?.quarantine_until_ms;
         (until_ms > now_ms).then_some(until_ms)
     }
 
-    /// Whether an entry is held back, and until when.
+    /// Time until which an entry is held back, or `None` if it is not.
     pub fn held_back_until(&self, now_ms: UnixMs, entry: &EntryName) -> Option<UnixMs> {
-        let until_ms = self.entries.get(entry)?.held_until_ms;
+        let until_ms = self.entries.get(entry)?.held_back_until_ms;
         (until_ms > now_ms).then_some(until_ms)
     }
 
-    /// Tasks, those of gangs not counted, that a worker may run at once; `None` is no limit.
+    /// Maximum number of concurrent tasks on a worker, gang tasks not counted; `None` is no limit.
     pub fn tasks_max(&self, now_ms: UnixMs, worker: &WorkerId) -> Option<u32> {
         match self.workers.get(worker) {
-            Some(found) if found.proved && found.failures_in_row == 0 => None,
-            // Back from quarantine it gets one task to show itself.
+            Some(health) if health.proven && health.failures_in_row == 0 => None,
+            // After a quarantine the worker is tried with one task at a time.
             Some(_) if self.probation_until(now_ms, worker).is_some() => Some(1),
-            Some(found) => Some((UNPROVEN_TASKS_MAX >> found.failures_in_row.min(2)).max(1)),
+            Some(health) => Some((UNPROVEN_TASKS_MAX >> health.failures_in_row.min(2)).max(1)),
             None => Some(UNPROVEN_TASKS_MAX),
         }
     }
 
-    /// Until when a worker that comes back from quarantine is tried only with
-    /// work that may be repeated. Where none comes, the time ends it: a cell
-    /// with nothing but other work would otherwise never use the worker again.
+    /// End of a worker's probation, or `None` if it is not on probation. During
+    /// probation, which follows a quarantine, the worker only gets work that may be
+    /// repeated. It ends after a fixed time even if no such work arrives; otherwise
+    /// a cell that runs only other work would never use the worker again.
     pub fn probation_until(&self, now_ms: UnixMs, worker: &WorkerId) -> Option<UnixMs> {
-        let found = self.workers.get(worker)?;
-        let until_ms = found.quarantine_until_ms + PROBATION_MS;
-        (found.quarantines > 0 && now_ms < until_ms).then_some(until_ms)
+        let health = self.workers.get(worker)?;
+        let until_ms = health.quarantine_until_ms + PROBATION_MS;
+        (health.quarantines > 0 && now_ms < until_ms).then_some(until_ms)
     }
 
     fn quarantine(&mut self, now_ms: UnixMs, worker: &WorkerId) {
-        let found = self.workers.entry(worker.clone()).or_default();
-        let backoff_ms = QUARANTINE_MS << found.quarantines.min(8);
-        found.quarantine_until_ms = now_ms + backoff_ms.min(QUARANTINE_MS_MAX);
-        found.quarantines += 1;
-        found.proved = false;
-        found.failures_in_row = 0;
-        found.failed_entries.clear();
-        // What failed here says nothing of the entries.
+        let health = self.workers.entry(worker.clone()).or_default();
+        let backoff_ms = QUARANTINE_MS << health.quarantines.min(8);
+        health.quarantine_until_ms = now_ms + backoff_ms.min(QUARANTINE_MS_MAX);
+        health.quarantines += 1;
+        health.proven = false;
+        health.failures_in_row = 0;
+        health.failed_entries.clear();
+        // Failures on a faulty worker are no evidence against the entries.
         for entry in self.entries.values_mut() {
             entry.failed_workers.remove(worker);
         }
     }
 
     fn fails_elsewhere(&self, worker: &WorkerId, entry: &EntryName) -> bool {
-        let Some(found) = self.entries.get(entry) else {
+        let Some(health) = self.entries.get(entry) else {
             return false;
         };
-        found.holds > 0 || found.failed_workers.iter().any(|other| other != worker)
+        health.hold_backs > 0 || health.failed_workers.iter().any(|other| other != worker)
     }
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,18 +1,18 @@
-//! Where work runs: one cell of workers shared by unlike classes.
+//! Placement of tasks: one cell of workers is shared by work of different classes.
 //!
-//! [`Scheduler`] is the whole of it: workers and their free resources
-//! ([`cell`]), waiting jobs ([`queue`]), what entries really use
-//! ([`learned`]) and who fails whom ([`health`]). It is driven by events with
-//! the time given, never waits, and only the holder of a worker runs one over
-//! that worker, so no two of them can promise the same room.
+//! [`Scheduler`] combines the workers and their free resources ([`cell`]), the
+//! waiting jobs ([`queue`]), estimates of actual usage ([`usage`]) and the failure
+//! history of workers and entries ([`health`]). It is driven by events that carry
+//! the current time, and never blocks. Only the daemon that holds a worker schedules
+//! on it, so no two schedulers can allocate the same capacity.
 
 pub mod cell;
 pub mod health;
-pub mod learned;
 pub mod queue;
 pub mod reservation;
 pub mod scheduler;
 pub mod tree;
+pub mod usage;
 
 pub use cell::Cell;
 pub use cell::Running;
--- a/crates/placement/src/reservation.rs
+++ b/crates/placement/src/reservation.rs
@@ -1,34 +1,35 @@
-//! Room kept for a job that would otherwise wait for ever.
+//! Capacity reserved for a job that would otherwise starve.
 //!
-//! A gang needs all its tasks at once; while small work fills every gap, that
-//! moment never comes by itself. One job of an owner at a time keeps what
-//! becomes free until it has all it needs or its time is up. There is one such
-//! job and it never waits for another, so two gangs cannot block each other;
-//! when its time is up the next one gets its turn. Work that gives way may use
-//! the kept room meanwhile.
+//! The tasks of a gang must start together, which never becomes possible while
+//! small jobs fill every gap. For one job of each owner at a time, the scheduler
+//! claims capacity as it becomes free, until the job has all it needs or the
+//! reservation expires. Since an owner has only one reservation, and it never
+//! waits for another one, two gangs cannot deadlock; when a reservation expires,
+//! the next job gets its turn. In the meantime, idempotent batch work may use the
+//! claimed capacity; it can be evicted unless it is urgent.
 
 use stoatwell_model::JobId;
 use stoatwell_model::Resources;
 use stoatwell_model::UnixMs;
 use stoatwell_model::WorkerId;
 
-/// Room kept for one job.
+/// Capacity reserved for one job.
 #[derive(Clone, Debug)]
 pub struct Reservation {
-    /// The job.
+    /// The job that waits for it.
     pub job: JobId,
-    /// When the room goes back to all.
+    /// When the reservation expires and its claims are released.
     pub until_ms: UnixMs,
-    /// Tasks that must start together.
+    /// Number of tasks that must start together; 1 unless the job is a gang.
     pub tasks: usize,
-    /// What one task needs.
+    /// Demand of one task.
     pub need: Resources,
-    /// One worker for each task that has its room.
+    /// One worker for each task whose capacity is claimed; a worker may occur repeatedly.
     pub claims: Vec<WorkerId>,
 }
 
 impl Reservation {
-    /// Whether every task has its room.
+    /// Whether capacity is claimed for every task.
     pub fn is_complete(&self) -> bool {
         self.claims.len() >= self.tasks
     }
--- a/crates/placement/src/scheduler/mod.rs
+++ b/crates/placement/src/scheduler/mod.rs
@@ -1,13 +1,13 @@
-//! Which waiting work starts where, now.
+//! Decides which waiting tasks start now, and on which workers.
 //!
-//! A pass goes over the entries in the order of urgency, of how much their
-//! owners already hold, and of deadlines and age. A shape that does not fit is
-//! skipped until more room appears, so it never blocks others; a job that
-//! waited too long gets room kept for it, so nothing waits for ever.
+//! A scheduling cycle visits the entries by urgency, then by the share of capacity
+//! that their owners use, then by deadline and age. An entry whose first jobs do not
+//! fit is skipped until capacity becomes free, so it does not block others. A job
+//! that has waited too long gets a reservation, so nothing waits for ever.
 
 mod place;
 mod reserve;
-mod trust;
+mod worker_health;
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -27,40 +27,43 @@
 use stoatwell_model::peer::OwnerSummary;
 use stoatwell_model::worker::WorkerState;
 
+use crate::cell::CapacityView;
 use crate::cell::Cell;
 use crate::cell::Running;
-use crate::cell::View;
 use crate::health::Health;
-use crate::health::PROVED_AFTER_MS;
+use crate::health::PROVEN_AFTER_MS;
 use crate::health::Verdict;
-use crate::learned::Learned;
 use crate::queue::EntryQueue;
 use crate::queue::Queue;
 use crate::queue::WaitingJob;
 use crate::reservation::Reservation;
+use crate::usage::UsageEstimator;
 
-/// Jobs of one entry that a pass tries before it gives the entry up.
+/// Maximum number of jobs of one entry that are tried before the entry counts as blocked.
 const LOOK_AHEAD_JOBS: usize = 8;
-/// Tasks of one job that start before the next entry gets its turn.
-const TURN_TASKS: usize = 32;
-/// An entry that does not fit is looked at again after this time at the latest.
-const BLOCKED_MS: u64 = 500;
-/// Evictions in one pass, so that a burst of urgent work does not clear the cell.
-const EVICTIONS_PER_PASS: usize = 256;
-/// Headroom that the strongest wish for short waits keeps free, in thousandths.
+/// Maximum number of tasks of a job that start before the next entry gets its turn.
+const TASKS_PER_TURN: usize = 32;
+/// A blocked entry is retried after this time at the latest.
+const BLOCKED_RETRY_MS: u64 = 500;
+/// Maximum number of evictions in one scheduling cycle, so that a burst of urgent work
+/// does not clear the cell.
+const EVICTIONS_PER_CYCLE: usize = 256;
+/// Capacity that patient work leaves free if its owner's weights favour only `waiting`,
+/// in thousandths.
 const HEADROOM_PERMILLE_MAX: u64 = 120;
 const PERMILLE: u64 = 1_000;
 
-/// What can be tuned.
+/// Parameters of the scheduler.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
-    /// After this long a job counts as one step more urgent, though it evicts nothing.
+    /// For each such time that a job has waited, it ranks one urgency level higher. This
+    /// does not entitle it to evict others.
     pub aging_ms: u64,
-    /// After this long a job that does not fit gets room kept for it.
+    /// Waiting time after which a job that does not fit gets a reservation.
     pub reserve_after_ms: u64,
-    /// How long that room is kept.
+    /// How long a reservation lasts, and how long its job is skipped after it expires.
     pub reserve_ms: u64,
-    /// Whether learned demands are used.
+    /// Whether demands are estimated from past usage rather than taken as declared.
     pub use_estimates: bool,
 }
 
@@ -75,99 +78,101 @@
     }
 }
 
-/// A task that got a worker.
+/// A task with the worker chosen for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placed {
-    /// The attempt.
+    /// The attempt to start.
     pub attempt: AttemptId,
-    /// Where it is to start.
+    /// The worker to start it on.
     pub worker: WorkerId,
-    /// What is set aside for it.
+    /// Capacity that is allocated for it.
     pub demand: Resources,
-    /// Attempts that must be stopped first.
+    /// Attempts on the worker that must be stopped first.
     pub evict: Vec<AttemptId>,
 }
 
-/// What a pass decided.
+/// One decision of a scheduling cycle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Start these tasks of one job; for a gang these are all of them.
+    /// Start tasks of one job.
     Start {
-        /// The job.
+        /// The job they belong to.
         job: JobId,
-        /// Its tasks.
+        /// The tasks to start; all waiting ones if the job is a gang.
         tasks: Vec<Placed>,
     },
-    /// The deadline passed before these could start.
+    /// The deadline of a job passed while tasks were waiting.
     Expired {
-        /// The job.
+        /// The job, which is no longer in the queue.
         job: JobId,
         /// Attempts that will not start.
         tasks: Vec<AttemptId>,
     },
 }
 
-/// Counters of what was decided, for metrics and measurements.
+/// Counters of decisions, for metrics and benchmarks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counters {
-    /// Tasks that got a worker.
+    /// Tasks placed on a worker.
     pub placed: u64,
-    /// Searches that found none.
+    /// Tries to place a task that failed for want of a worker or because of a limit.
     pub refused: u64,
-    /// Tasks stopped for urgent work.
+    /// Tasks evicted to make room for others.
     pub evicted: u64,
-    /// Jobs whose deadline passed in the queue.
+    /// Jobs whose deadline passed while they were waiting.
     pub expired: u64,
-    /// Jobs that got room kept for them.
+    /// Reservations made.
     pub reservations: u64,
-    /// Workers quarantined.
+    /// Quarantines of workers.
     pub quarantines: u64,
-    /// Entries held back.
+    /// Hold-backs of entries.
     pub held_back: u64,
 }
 
-/// Waiting and running work over the workers of one holder.
+/// Scheduler over the workers that one daemon holds.
 #[derive(Debug, Default)]
 pub struct Scheduler {
-    /// The workers.
+    /// Workers and the tasks on them.
     pub cell: Cell,
-    /// What waits.
+    /// Jobs with tasks that are not placed yet.
     pub queue: Queue,
-    /// What entries really use.
-    pub learned: Learned,
-    /// Who fails whom.
+    /// Estimates the demand of tasks from the usage of earlier ones.
+    pub usage: UsageEstimator,
+    /// Failures of workers and entries.
     pub health: Health,
-    /// What was decided so far.
+    /// Totals since the scheduler was created.
     pub counters: Counters,
     policy: Policy,
     weights: HashMap<OwnerName, Weights>,
-    /// Tasks of an entry that may run here at once.
+    /// Maximum number of an entry's tasks that run here at once.
     running_max: HashMap<EntryName, u32>,
     reservations: BTreeMap<OwnerName, Reservation>,
-    unproved: Vec<(UnixMs, AttemptId)>,
-    quarantined: Vec<(UnixMs, WorkerId)>,
+    /// Tasks and the time at which each proves its worker if it is still running.
+    unproven_tasks: Vec<(UnixMs, AttemptId)>,
+    /// Workers and the time at which their quarantine or probation ends.
+    health_rechecks: Vec<(UnixMs, WorkerId)>,
 }
 
 impl Scheduler {
-    /// An empty cell under this policy.
+    /// A scheduler without workers or jobs.
     pub fn new(policy: Policy) -> Self {
         Self { policy, ..Self::default() }
     }
 
-    /// Takes over a worker as it describes itself.
+    /// Adds a worker, or updates it, from the state that it reports.
     pub fn put_worker(&mut self, now_ms: UnixMs, state: &WorkerState, target: Option<&Target>) {
         self.cell.put_worker(&state.worker, &state.rack, state.capacity, state.foreign);
         self.set_target(&state.worker, target);
-        self.check_health(now_ms, &state.worker);
+        self.apply_health(now_ms, &state.worker);
     }
 
-    /// Gives a worker up; what ran there is no longer counted here.
+    /// Removes a worker and returns its tasks, which are no longer counted here.
     pub fn remove_worker(&mut self, worker: &WorkerId) -> Vec<AttemptId> {
         self.drop_claims_on(worker);
         self.cell.remove_worker(worker)
     }
 
-    /// Says whom a worker serves.
+    /// Applies a worker's target; `None` if the catalogue has none for it.
     pub fn set_target(&mut self, worker: &WorkerId, target: Option<&Target>) {
         let serving = target.is_some_and(|target| target.state == TargetState::Serving);
         if !serving {
@@ -176,44 +181,46 @@
         self.cell.set_target(worker, target.map(|target| &target.owner), serving);
     }
 
-    /// Takes an owner's share of its quota and what it values.
+    /// Sets this daemon's share of an owner's quota, and the owner's weights.
     pub fn set_owner(&mut self, owner: &OwnerName, quota: Option<Resources>, weights: Weights) {
         self.cell.set_quota(owner, quota);
         self.weights.insert(owner.clone(), weights);
     }
 
-    /// Takes an entry's share of the tasks that may run at once.
+    /// Sets this daemon's share of the entry's limit of concurrent tasks.
     pub fn set_running_max(&mut self, entry: &EntryName, tasks: u32) {
         self.running_max.insert(entry.clone(), tasks);
     }
 
-    /// Adds work that waits.
+    /// Adds a job, or more tasks of a waiting job, to the queue.
     pub fn enqueue(&mut self, job: WaitingJob) {
         self.queue.push(job);
     }
 
-    /// Takes a job's waiting tasks out, for a cancellation or a hand-over.
+    /// Removes a job from the queue, to cancel it or hand it over, and returns its
+    /// waiting tasks.
     pub fn withdraw(&mut self, job: JobId) -> Vec<AttemptId> {
         self.drop_reservation_of(job);
         self.queue.remove(job).map_or_else(Vec::new, |waiting| waiting.tasks.into())
     }
 
-    /// Takes over a task that runs already, as its worker reports.
+    /// Adds a task that is already running according to its worker's report.
     pub fn adopt(&mut self, attempt: AttemptId, running: Running) {
         if self.cell.running(attempt).is_none_or(|known| known.worker != running.worker) {
-            self.unproved.push((running.started_ms + PROVED_AFTER_MS, attempt));
+            self.unproven_tasks.push((running.started_ms + PROVEN_AFTER_MS, attempt));
             self.cell.add(attempt, running);
         }
     }
 
-    /// A start did not happen; its room is free again.
+    /// Releases the capacity of a task that was placed but did not start.
     pub fn release_unstarted(&mut self, now_ms: UnixMs, attempt: AttemptId) {
         if let Some(running) = self.cell.remove(attempt) {
-            self.check_health(now_ms, &running.worker);
+            self.apply_health(now_ms, &running.worker);
         }
     }
 
-    /// A task ended by itself or was stopped, as its worker reports.
+    /// Records that a task ended according to its worker's report. Has no effect if the
+    /// task is not placed on that worker.
     pub fn task_ended(
         &mut self,
         now_ms: UnixMs,
@@ -222,35 +229,35 @@
         end: TaskEnd,
     ) -> Verdict {
         if self.cell.running(attempt).is_none_or(|running| running.worker != *worker) {
-            return Verdict::Open;
+            return Verdict::Inconclusive;
         }
         let Some(running) = self.cell.remove(attempt) else {
-            return Verdict::Open;
+            return Verdict::Inconclusive;
         };
-        let mut verdict = Verdict::Open;
+        let mut verdict = Verdict::Inconclusive;
         match end {
             TaskEnd::Succeeded => {
                 self.health.record_success(&running.worker, &running.entry);
-                self.learned.record(&running.entry, attempt.job, &running.declared, &running.used);
+                self.usage.record(&running.entry, attempt.job, &running.declared, &running.used);
                 let ran_ms = now_ms.saturating_sub(running.started_ms);
-                self.learned.record_run(&running.entry, ran_ms);
+                self.usage.record_run(&running.entry, ran_ms);
             }
             TaskEnd::Failed => {
                 verdict = self.health.record_failure(now_ms, &running.worker, &running.entry);
                 match verdict {
                     Verdict::WorkerQuarantined => self.counters.quarantines += 1,
                     Verdict::EntryHeldBack => self.counters.held_back += 1,
-                    Verdict::Open => {}
+                    Verdict::Inconclusive => {}
                 }
             }
             TaskEnd::Stopped => {}
         }
-        self.check_health(now_ms, &running.worker);
+        self.apply_health(now_ms, &running.worker);
         verdict
     }
 
-    /// Takes what a running task was seen to use; gives tasks that must be
-    /// stopped because the worker holds less than it is asked for.
+    /// Records the observed usage of a running task. If its worker is overcommitted,
+    /// returns the tasks to stop.
     pub fn record_usage(
         &mut self,
         now_ms: UnixMs,
@@ -264,37 +271,38 @@
         let Some(index) = self.cell.index_of(&running.worker) else {
             return Vec::new();
         };
-        if !self.cell.overfull(index) {
+        if !self.cell.is_overcommitted(index) {
             return Vec::new();
         }
         let victims = self.cell.victims(index, &Resources::ZERO, now_ms);
         victims.map_or_else(Vec::new, |(_, victims)| victims)
     }
 
-    /// Goes over what waits and places up to `tasks_max` tasks.
+    /// Runs a scheduling cycle, which ends once `tasks_max` tasks are placed. Gangs and
+    /// jobs with a complete reservation start as a whole even if they exceed this.
     pub fn schedule(&mut self, now_ms: UnixMs, tasks_max: usize) -> Vec<Decision> {
         let mut decisions = Vec::new();
-        // Shares are taken of what the workers hold in all, which must be known.
-        self.cell.settle_all();
+        // Shares are relative to the total capacity, which must be up to date.
+        self.cell.rebuild_stale_pools();
         self.expire(now_ms, &mut decisions);
-        self.prove(now_ms);
+        self.update_health(now_ms);
         self.advance_reservations(now_ms, &mut decisions);
-        let mut left = tasks_max;
-        let mut evictions_left = EVICTIONS_PER_PASS;
-        while left > 0 {
+        let mut tasks_left = tasks_max;
+        let mut evictions_left = EVICTIONS_PER_CYCLE;
+        while tasks_left > 0 {
             let mut progress = false;
-            for (entry, urgency) in self.order(now_ms) {
-                let placed = self.serve_line(
+            for (entry, urgency) in self.entry_order(now_ms) {
+                let placed = self.schedule_entry(
                     now_ms,
                     &entry,
                     urgency,
-                    left,
+                    tasks_left,
                     &mut evictions_left,
                     &mut decisions,
                 );
-                left = left.saturating_sub(placed);
+                tasks_left = tasks_left.saturating_sub(placed);
                 progress |= placed > 0;
-                if left == 0 {
+                if tasks_left == 0 {
                     break;
                 }
             }
@@ -305,7 +313,8 @@
         decisions
     }
 
-    /// Tries one task that another daemon cannot place on its own workers.
+    /// Places one task outside a scheduling cycle and without evictions: for another
+    /// daemon, or for a gang that spans several daemons.
     pub fn place_task(
         &mut self,
         now_ms: UnixMs,
@@ -313,59 +322,62 @@
         attempt: AttemptId,
     ) -> Option<Placed> {
         let mut evictions_left = 0;
-        self.cell.settle_all();
+        self.cell.rebuild_stale_pools();
         let placed = self.place(now_ms, job, attempt, &mut evictions_left)?;
-        self.commit(now_ms, job, &placed);
+        self.allocate(now_ms, job, &placed);
         Some(placed)
     }
 
-    /// Why a job waits, for people.
+    /// Reasons why a job is waiting, as shown to users; empty if it is not in the queue.
     pub fn pending_reasons(&mut self, now_ms: UnixMs, job: JobId) -> Vec<String> {
         let Some(waiting) = self.queue.get(job).cloned() else {
             return Vec::new();
         };
         let mut reasons = Vec::new();
-        let ahead = self.queue.ahead_of(job);
+        let ahead = self.queue.jobs_ahead_of(job);
         if ahead > 0 {
-            reasons.push(format!("{ahead} jobs of entry {} stand before it", waiting.entry));
+            reasons.push(format!(
+                "{ahead} jobs of entry {} are ahead of it in the queue",
+                waiting.entry
+            ));
         }
         if let Some(until_ms) = self.health.held_back_until(now_ms, &waiting.entry) {
             let left_ms = until_ms - now_ms;
             reasons.push(format!(
-                "entry {} fails everywhere and is held back for {left_ms} ms",
+                "entry {} keeps failing and is held back for {left_ms} ms",
                 waiting.entry
             ));
         }
         let need = self.demand(&waiting);
         if !self.within_quota(&waiting, &need) {
-            reasons.push(format!("owner {} holds all its quota here", waiting.owner));
+            reasons.push(format!("owner {} has too little quota left here", waiting.owner));
         }
-        if self.is_at_limit(&waiting.entry) {
-            let running = self.cell.running_of(&waiting.entry);
+        if self.is_at_running_max(&waiting.entry) {
+            let running = self.cell.running_count_of(&waiting.entry);
             reasons.push(format!(
-                "{running} tasks of entry {} run here, as many as may",
+                "{running} tasks of entry {} run here, which is its limit",
                 waiting.entry
             ));
         }
         let free = self.cell.largest_free(&waiting.owner);
         if let Some(lacking) = free.lacking(&need) {
             reasons.push(format!("no worker of {} has enough free {lacking} now", waiting.owner));
-        } else if self.cell.find_packed(&waiting.owner, &need, View::Free).is_none() {
-            reasons.push("no single worker has all of it free now".to_owned());
+        } else if self.cell.find_packed(&waiting.owner, &need, CapacityView::Free).is_none() {
+            reasons.push("no single worker has enough of every resource free now".to_owned());
         }
         if let Some(reservation) = self.reservations.get(&waiting.owner)
             && reservation.job == job
         {
-            let (have, all) = (reservation.claims.len(), reservation.tasks);
-            reasons.push(format!("room is kept for {have} of its {all} tasks"));
+            let (claimed, total) = (reservation.claims.len(), reservation.tasks);
+            reasons.push(format!("capacity is reserved for {claimed} of its {total} tasks"));
         }
         if reasons.is_empty() {
-            reasons.push("it is next".to_owned());
+            reasons.push("it is next to be placed".to_owned());
         }
         reasons
     }
 
-    /// What one owner can get here, in short.
+    /// Capacity that is available here, by owner.
     pub fn owner_summaries(&mut self) -> Vec<OwnerSummary> {
         let owners: Vec<OwnerName> = self.cell.owners().cloned().collect();
         let mut summaries = Vec::new();
@@ -377,15 +389,15 @@
         summaries
     }
 
-    /// The class for which room is kept, by owner.
+    /// Reservations by owner; an owner has at most one.
     pub fn reservations(&self) -> impl Iterator<Item = (&OwnerName, &Reservation)> {
         self.reservations.iter()
     }
 
-    /// What to set aside for one task of a job.
+    /// Capacity to allocate for one task of a job: estimated or declared, by policy.
     pub fn demand(&self, job: &WaitingJob) -> Resources {
         if self.policy.use_estimates {
-            self.learned.demand(&job.entry, &job.demand)
+            self.usage.demand(&job.entry, &job.demand)
         } else {
             job.demand
         }
@@ -399,58 +411,60 @@
         }
     }
 
-    /// Entries in the order in which they are served.
-    fn order(&self, now_ms: UnixMs) -> Vec<(EntryName, Urgency)> {
+    /// Entries that are not blocked, in scheduling order.
+    fn entry_order(&self, now_ms: UnixMs) -> Vec<(EntryName, Urgency)> {
         let mut keyed = Vec::new();
-        for line in self.queue.entry_queues() {
-            if self.is_blocked(now_ms, line) {
+        for entry_queue in self.queue.entry_queues() {
+            if self.is_blocked(now_ms, entry_queue) {
                 continue;
             }
-            let waited_ms = now_ms.saturating_sub(line.front_accepted_ms());
-            let rank =
-                (line.urgency as u64).saturating_sub(waited_ms / self.policy.aging_ms.max(1));
-            let (capacity, used) = self.cell.usage(&line.owner);
-            let waiting = f64::from(
-                self.weights.get(&line.owner).map_or(1, |weights| weights.waiting).max(1),
+            let waited_ms = now_ms.saturating_sub(entry_queue.front_accepted_ms());
+            let rank = (entry_queue.urgency as u64)
+                .saturating_sub(waited_ms / self.policy.aging_ms.max(1));
+            let (capacity, used) = self.cell.usage(&entry_queue.owner);
+            let waiting_weight = f64::from(
+                self.weights.get(&entry_queue.owner).map_or(1, |weights| weights.waiting).max(1),
             );
-            let share = used.dominant_share(&capacity) / waiting;
-            let key = (rank, share, line.front_deadline_ms(), line.front_accepted_ms());
-            keyed.push((key, (line.entry.clone(), line.urgency)));
+            let share = used.dominant_share(&capacity) / waiting_weight;
+            let key =
+                (rank, share, entry_queue.front_deadline_ms(), entry_queue.front_accepted_ms());
+            keyed.push((key, (entry_queue.entry.clone(), entry_queue.urgency)));
         }
         keyed.sort_by(|(a, _), (b, _)| {
             a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)).then(a.3.cmp(&b.3))
         });
-        keyed.into_iter().map(|(_, line)| line).collect()
+        keyed.into_iter().map(|(_, entry)| entry).collect()
     }
 
-    /// Whether nothing that could matter has changed since the front of an
-    /// entry did not fit. Learned demands and rested jobs make no room grow, so
-    /// after a while it is looked at all the same.
-    fn is_blocked(&self, now_ms: UnixMs, line: &EntryQueue) -> bool {
-        let Some((growth, since_ms)) = line.blocked_at else {
+    /// Whether no capacity has become free since the first jobs of an entry did not
+    /// fit. A lower demand estimate or the end of a job's deferral is not visible in
+    /// the free generation, so the entry is retried after a while in any case.
+    fn is_blocked(&self, now_ms: UnixMs, entry_queue: &EntryQueue) -> bool {
+        let Some((free_generation, since_ms)) = entry_queue.blocked_at else {
             return false;
         };
-        growth == self.cell.growth(&line.owner) && now_ms < since_ms + BLOCKED_MS
+        free_generation == self.cell.free_generation(&entry_queue.owner)
+            && now_ms < since_ms + BLOCKED_RETRY_MS
     }
 
-    /// Gives one entry its turn; says how many tasks were placed.
-    fn serve_line(
+    /// Tries to start the first jobs of an entry; returns the number of tasks placed.
+    fn schedule_entry(
         &mut self,
         now_ms: UnixMs,
         entry: &EntryName,
         urgency: Urgency,
-        left: usize,
+        tasks_left: usize,
         evictions_left: &mut usize,
         decisions: &mut Vec<Decision>,
     ) -> usize {
         if self.health.held_back_until(now_ms, entry).is_some() {
             return 0;
         }
-        let Some(line) = self.queue.entry_queue_mut(entry, urgency) else {
+        let Some(entry_queue) = self.queue.entry_queue_mut(entry, urgency) else {
             return 0;
         };
-        let front: Vec<JobId> = line.front(LOOK_AHEAD_JOBS).collect();
-        let owner = line.owner.clone();
+        let front: Vec<JobId> = entry_queue.front(LOOK_AHEAD_JOBS).collect();
+        let owner = entry_queue.owner.clone();
         for job in front {
             let Some(waiting) = self.queue.get(job).cloned() else {
                 continue;
@@ -458,27 +472,27 @@
             if waiting.not_before_ms > now_ms {
                 continue;
             }
-            let placed = self.start_job(now_ms, &waiting, left, evictions_left, decisions);
+            let placed = self.start_job(now_ms, &waiting, tasks_left, evictions_left, decisions);
             if placed > 0 {
                 return placed;
             }
             self.reserve_if_due(now_ms, &waiting);
         }
-        let growth = self.cell.growth(&owner);
-        if let Some(line) = self.queue.entry_queue_mut(entry, urgency) {
-            line.blocked_at = Some((growth, now_ms));
+        let free_generation = self.cell.free_generation(&owner);
+        if let Some(entry_queue) = self.queue.entry_queue_mut(entry, urgency) {
+            entry_queue.blocked_at = Some((free_generation, now_ms));
         }
         0
     }
 }
 
-/// How a task ended, as far as blame goes.
+/// How a task ended, as far as the health of its worker and entry is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskEnd {
-    /// By itself, well.
+    /// It ended by itself, with success.
     Succeeded,
-    /// By itself, badly.
+    /// It ended by itself, with an error.
     Failed,
-    /// It was told to.
+    /// It was told to stop, which says nothing about health.
     Stopped,
 }
--- a/crates/placement/src/scheduler/place.rs
+++ b/crates/placement/src/scheduler/place.rs
@@ -1,4 +1,4 @@
-//! A worker for each task, and room set aside on it.
+//! Chooses a worker for each task and allocates capacity on it.
 
 use stoatwell_model::AttemptId;
 use stoatwell_model::Class;
@@ -8,42 +8,46 @@
 use stoatwell_model::UnixMs;
 use stoatwell_model::Urgency;
 
+use crate::cell::CapacityView;
 use crate::cell::Running;
-use crate::cell::View;
-use crate::health::PROVED_AFTER_MS;
+use crate::health::PROVEN_AFTER_MS;
 use crate::queue::WaitingJob;
 use crate::scheduler::Decision;
 use crate::scheduler::HEADROOM_PERMILLE_MAX;
 use crate::scheduler::PERMILLE;
 use crate::scheduler::Placed;
 use crate::scheduler::Scheduler;
-use crate::scheduler::TURN_TASKS;
+use crate::scheduler::TASKS_PER_TURN;
 
 impl Scheduler {
-    /// Whether as many tasks of an entry run here as may.
-    pub(super) fn is_at_limit(&self, entry: &EntryName) -> bool {
+    /// Whether the entry's limit of concurrent tasks is reached here.
+    pub(super) fn is_at_running_max(&self, entry: &EntryName) -> bool {
         let limit = self.running_max.get(entry);
-        limit.is_some_and(|limit| self.cell.running_of(entry) >= *limit)
+        limit.is_some_and(|limit| self.cell.running_count_of(entry) >= *limit)
     }
 
+    /// Places tasks of a job, or all of a gang's; returns the number of tasks placed.
     pub(super) fn start_job(
         &mut self,
         now_ms: UnixMs,
         job: &WaitingJob,
-        left: usize,
+        tasks_left: usize,
         evictions_left: &mut usize,
         decisions: &mut Vec<Decision>,
     ) -> usize {
         let is_gang = job.class == Class::Gang;
-        let wanted =
-            if is_gang { job.tasks.len() } else { job.tasks.len().min(TURN_TASKS).min(left) };
+        let wanted = if is_gang {
+            job.tasks.len()
+        } else {
+            job.tasks.len().min(TASKS_PER_TURN).min(tasks_left)
+        };
         let mut tasks: Vec<Placed> = Vec::new();
         let mut victims = Vec::new();
         for attempt in job.tasks.iter().take(wanted) {
             let Some(placed) = self.place(now_ms, job, *attempt, evictions_left) else {
                 break;
             };
-            victims.extend(self.commit(now_ms, job, &placed));
+            victims.extend(self.allocate(now_ms, job, &placed));
             tasks.push(placed);
         }
         if is_gang && tasks.len() < wanted {
@@ -60,7 +64,7 @@
         placed
     }
 
-    /// Finds a worker for one task without changing anything.
+    /// Finds a worker for one task, and tasks to evict from it, without allocating anything.
     pub(super) fn place(
         &mut self,
         now_ms: UnixMs,
@@ -69,21 +73,21 @@
         evictions_left: &mut usize,
     ) -> Option<Placed> {
         let demand = self.demand(job);
-        if self.is_at_limit(&job.entry) || !self.within_quota(job, &demand) {
+        if self.is_at_running_max(&job.entry) || !self.within_quota(job, &demand) {
             self.counters.refused += 1;
             return None;
         }
         let found = match job.class {
             Class::Service => self.cell.find_spread(&job.owner, &demand, attempt),
             Class::Batch | Class::Gang | Class::Request => {
-                self.cell.find_packed(&job.owner, &demand, View::Free)
+                self.cell.find_packed(&job.owner, &demand, CapacityView::Free)
             }
         };
         let may_use_claimed =
             || job.class == Class::Batch && job.execution == Execution::Idempotent;
         let found = match found {
             None if may_use_claimed() => {
-                self.cell.find_packed(&job.owner, &demand, View::IncludingClaimed)
+                self.cell.find_packed(&job.owner, &demand, CapacityView::FreeOrClaimed)
             }
             found => found,
         };
@@ -91,7 +95,7 @@
             Some(index) => (index, Vec::new()),
             None if job.urgency == Urgency::Urgent && *evictions_left > 0 => {
                 let (index, victims) =
-                    self.cell.find_reclaim(&job.owner, &demand, now_ms, attempt)?;
+                    self.cell.find_with_eviction(&job.owner, &demand, now_ms, attempt)?;
                 *evictions_left = evictions_left.saturating_sub(victims.len());
                 (index, victims)
             }
@@ -100,8 +104,8 @@
                 return None;
             }
         };
-        let worker = self.cell.slot(index).worker.clone();
-        // A worker back from quarantine is tried only with work that may be repeated.
+        let worker = self.cell.worker_at(index).worker.clone();
+        // A worker on probation is tried only with work that may be repeated.
         if job.execution.needs_intent() && self.health.probation_until(now_ms, &worker).is_some() {
             self.counters.refused += 1;
             return None;
@@ -109,8 +113,8 @@
         Some(Placed { attempt, worker, demand, evict })
     }
 
-    /// Sets room aside for a task that got a worker; gives what had to go for it.
-    pub(super) fn commit(
+    /// Allocates capacity for a placed task; returns the tasks that are evicted for it.
+    pub(super) fn allocate(
         &mut self,
         now_ms: UnixMs,
         job: &WaitingJob,
@@ -136,13 +140,13 @@
         };
         self.cell.add(placed.attempt, running);
         self.counters.placed += 1;
-        self.unproved.push((now_ms + PROVED_AFTER_MS, placed.attempt));
-        self.check_health(now_ms, &placed.worker);
+        self.unproven_tasks.push((now_ms + PROVEN_AFTER_MS, placed.attempt));
+        self.apply_health(now_ms, &placed.worker);
         victims
     }
 
-    /// Undoes a start that did not come together. What had to go for it was
-    /// never told to stop, so its room is in use still.
+    /// Undoes the placements of a gang or reservation that did not fit as a whole. The
+    /// tasks evicted for it were never told to stop, so they still use their capacity.
     pub(super) fn roll_back(&mut self, tasks: &[Placed], victims: Vec<(AttemptId, Running)>) {
         for placed in tasks {
             self.cell.remove(placed.attempt);
@@ -154,6 +158,7 @@
         }
     }
 
+    /// Whether one more task of a job stays within its owner's quota and headroom.
     pub(super) fn within_quota(&self, job: &WaitingJob, demand: &Resources) -> bool {
         let (capacity, used) = self.cell.usage(&job.owner);
         let after = used.plus(demand);
@@ -163,11 +168,11 @@
         if job.urgency != Urgency::Patient {
             return true;
         }
-        // Patient work leaves room for what an owner that values short waits sends next.
+        // Patient work leaves headroom for the next jobs of an owner that prefers short waits.
         let weights = self.weights.get(&job.owner).copied().unwrap_or_default();
-        let all = u64::from(weights.waiting + weights.packing).max(1);
-        let favour = (u64::from(weights.waiting) * 2).saturating_sub(all);
-        let headroom = HEADROOM_PERMILLE_MAX * favour / all;
-        capacity.share(PERMILLE - headroom, PERMILLE).holds(&after)
+        let total_weight = u64::from(weights.waiting + weights.packing).max(1);
+        let waiting_excess = (u64::from(weights.waiting) * 2).saturating_sub(total_weight);
+        let headroom_permille = HEADROOM_PERMILLE_MAX * waiting_excess / total_weight;
+        capacity.share(PERMILLE - headroom_permille, PERMILLE).holds(&after)
     }
 }
--- a/crates/placement/src/scheduler/reserve.rs
+++ b/crates/placement/src/scheduler/reserve.rs
@@ -1,4 +1,4 @@
-//! Room kept for one job of an owner at a time; see [`crate::reservation`].
+//! Reservations of waiting jobs; see [`crate::reservation`].
 
 use stoatwell_model::Class;
 use stoatwell_model::JobId;
@@ -6,7 +6,7 @@
 use stoatwell_model::UnixMs;
 use stoatwell_model::WorkerId;
 
-use crate::cell::View;
+use crate::cell::CapacityView;
 use crate::queue::WaitingJob;
 use crate::reservation::Reservation;
 use crate::scheduler::Decision;
@@ -14,6 +14,8 @@
 use crate::scheduler::Scheduler;
 
 impl Scheduler {
+    /// Makes a reservation for a job that did not fit, if it has waited long enough and its
+    /// owner has none yet.
     pub(super) fn reserve_if_due(&mut self, now_ms: UnixMs, job: &WaitingJob) {
         let waited_ms = now_ms.saturating_sub(job.accepted_ms);
         if waited_ms < self.policy.reserve_after_ms || self.reservations.contains_key(&job.owner) {
@@ -21,8 +23,8 @@
         }
         let need = self.demand(job);
         let tasks = if job.class == Class::Gang { job.tasks.len() } else { 1 };
-        // A gang that is wider than these workers gathers room at several
-        // holders; room kept here would only stand in another one's way.
+        // A gang that is too large for these workers gathers capacity at several
+        // daemons; a reservation here would only get in the way of other jobs.
         if !self.cell.could_fit_all(&job.owner, &need, tasks) {
             return;
         }
@@ -32,7 +34,8 @@
         self.counters.reservations += 1;
     }
 
-    /// Lets each reservation keep what has become free, and starts those that have all.
+    /// Claims free capacity for each reservation, starts the jobs of complete ones and
+    /// ends expired ones.
     pub(super) fn advance_reservations(&mut self, now_ms: UnixMs, decisions: &mut Vec<Decision>) {
         let owners: Vec<OwnerName> = self.reservations.keys().cloned().collect();
         for owner in owners {
@@ -44,12 +47,13 @@
                 continue;
             };
             while !reservation.is_complete() {
-                let Some(index) = self.cell.find_packed(&owner, &reservation.need, View::Free)
+                let Some(index) =
+                    self.cell.find_packed(&owner, &reservation.need, CapacityView::Free)
                 else {
                     break;
                 };
                 self.cell.claim(index, &reservation.need);
-                reservation.claims.push(self.cell.slot(index).worker.clone());
+                reservation.claims.push(self.cell.worker_at(index).worker.clone());
             }
             if reservation.is_complete() {
                 self.release_claims(&reservation);
@@ -78,16 +82,16 @@
             let Some(index) = self.cell.index_of(worker) else {
                 break;
             };
-            if !self.cell.slot(index).takes_work() {
+            if !self.cell.worker_at(index).is_schedulable() {
                 break;
             }
-            // Work that used the kept room gives way now.
+            // Evicts work that uses the claimed capacity.
             let Some((_, evict)) = self.cell.victims(index, &reservation.need, now_ms) else {
                 break;
             };
             let worker = worker.clone();
             let placed = Placed { attempt: *attempt, worker, demand: reservation.need, evict };
-            victims.extend(self.commit(now_ms, job, &placed));
+            victims.extend(self.allocate(now_ms, job, &placed));
             tasks.push(placed);
         }
         if tasks.len() < reservation.tasks {
--- a/crates/placement/src/tree.rs
+++ b/crates/placement/src/tree.rs
@@ -1,12 +1,12 @@
-//! Finds a worker with enough of every resource without looking at all of them.
+//! Finds a worker with enough of every resource without looking at all workers.
 //!
-//! A binary tree over the workers keeps, for each range, the most that is free
-//! of each resource on any one of them. A range whose maximum is too small is
-//! skipped whole, so a search costs about the logarithm of the workers.
+//! A segment tree over the workers stores, for each range, the maximum free amount
+//! of each resource on any one worker. A range whose maximum is too small is
+//! skipped as a whole, so a search takes about logarithmic time.
 
 use stoatwell_model::Resources;
 
-/// Free resources of workers by position.
+/// Segment tree over the free resources of workers, by position.
 #[derive(Clone, Debug, Default)]
 pub struct FitTree {
     leaves: usize,
@@ -14,7 +14,7 @@
 }
 
 impl FitTree {
-    /// A tree over these, by position.
+    /// Builds a tree in which position `i` has `free[i]`.
     pub fn new(free: &[Resources]) -> Self {
         let leaves = free.len().next_power_of_two().max(1);
         let mut nodes = vec![Resources::ZERO; leaves * 2];
@@ -25,7 +25,7 @@
         Self { leaves, nodes }
     }
 
-    /// Changes what is free at one position.
+    /// Sets the free resources at one position.
     pub fn set(&mut self, position: usize, free: Resources) {
         let mut node = self.leaves + position;
         self.nodes[node] = free;
@@ -39,27 +39,33 @@
         }
     }
 
-    /// What is free at one position.
+    /// Free resources at one position.
     pub fn get(&self, position: usize) -> Resources {
         self.nodes[self.leaves + position]
     }
 
-    /// The most that is free of each resource, each perhaps on another worker.
+    /// Maximum of each resource over all positions; they may be at different positions.
     pub fn largest(&self) -> Resources {
         self.nodes.get(1).copied().unwrap_or_default()
     }
 
-    /// The first position from `start` on that holds `need`.
-    pub fn first_from(&self, start: usize, need: &Resources) -> Option<usize> {
+    /// The first position at or after `start` where `need` fits.
+    pub fn first_fit_from(&self, start: usize, need: &Resources) -> Option<usize> {
         if self.leaves == 0 {
             return None;
         }
         self.find(1, 0, self.leaves, start, need)
     }
 
-    /// Up to `looks` positions that hold `need`, from `start` on and once around.
-    pub fn around<'a>(&'a self, start: usize, need: &'a Resources, looks: usize) -> Around<'a> {
-        Around { tree: self, need, from: start, looks, wrapped: false }
+    /// Positions where `need` fits, from `start` to the end and then from 0. The search
+    /// makes at most `lookups` lookups, one of which may go to the wrap-around.
+    pub fn search_cyclic<'a>(
+        &'a self,
+        start: usize,
+        need: &'a Resources,
+        lookups: usize,
+    ) -> CyclicSearch<'a> {
+        CyclicSearch { tree: self, need, from: start, lookups, wrapped: false }
     }
 
     fn find(
@@ -82,28 +88,28 @@
     }
 }
 
-/// Positions that hold enough, starting anywhere; turning around costs a look.
+/// Iterator of [`FitTree::search_cyclic`]. Wrapping around costs one lookup.
 #[derive(Clone, Debug)]
-pub struct Around<'a> {
+pub struct CyclicSearch<'a> {
     tree: &'a FitTree,
     need: &'a Resources,
     from: usize,
-    looks: usize,
+    lookups: usize,
     wrapped: bool,
 }
 
-impl Iterator for Around<'_> {
+impl Iterator for CyclicSearch<'_> {
     type Item = usize;
 
     fn next(&mut self) -> Option<usize> {
-        while self.looks > 0 {
-            self.looks -= 1;
-            if let Some(position) = self.tree.first_from(self.from, self.need) {
+        while self.lookups > 0 {
+            self.lookups -= 1;
+            if let Some(position) = self.tree.first_fit_from(self.from, self.need) {
                 self.from = position + 1;
                 return Some(position);
             }
             if self.wrapped {
-                self.looks = 0;
+                self.lookups = 0;
             }
             self.wrapped = true;
             self.from = 0;
