--- a/crates/customers/src/directory.rs
+++ b/crates/customers/src/directory.rs
@@ -11,23 +11,25 @@
 
 use crate::key::KeyHash;
 
-/// Longest key, in bytes; what is longer is not even hashed.
+/// Maximum length of a key in bytes; longer ones are rejected without hashing them.
 const KEY_BYTES_MAX: usize = 512;
 
-/// A customer.
+/// A customer of the pool, as listed in the manifest.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Customer {
-    /// Its name.
+    /// The name, unique within a manifest.
     pub name: CustomerName,
-    /// Its share of a full pool, and the jobs a second that it may expect to be served.
+    /// Relative share of a full pool, and the number of jobs per second that the customer
+    /// may expect to be served.
     pub weight: f64,
-    /// What its tasks may take on all workers together; 0 of a resource is no limit.
+    /// Maximum total resources of its tasks over all workers; 0 means no limit on that
+    /// resource.
     pub cap: Resources,
-    /// Its keys.
+    /// Hashes of its API keys.
     pub keys: Vec<KeyHash>,
 }
 
-/// Why a list of customers is not taken.
+/// Reason why a list of customers is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum DirectoryError {
     /// customer {0}: named twice
@@ -38,15 +40,15 @@
     SharedKey(CustomerName, CustomerName),
 }
 
-/// Every mistake in a list of customers.
+/// All errors in a list of customers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DirectoryErrors(pub Vec<DirectoryError>);
 
 impl fmt::Display for DirectoryErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (number, mistake) in self.0.iter().enumerate() {
-            let between = if number == 0 { "" } else { "; " };
-            write!(f, "{between}{mistake}")?;
+        for (index, error) in self.0.iter().enumerate() {
+            let separator = if index == 0 { "" } else { "; " };
+            write!(f, "{separator}{error}")?;
         }
         Ok(())
     }
@@ -59,49 +61,49 @@
 #[serde(try_from = "Vec<Customer>", into = "Vec<Customer>")]
 pub struct Directory {
     customers: Vec<Customer>,
-    /// Places in `customers` by their keys.
+    /// Indices into `customers` by key.
     places: HashMap<KeyHash, usize>,
 }
 
 impl Directory {
-    /// Files customers, or finds every mistake in their list.
+    /// Indexes customers by their keys, or returns all errors in the list.
     pub fn new(customers: Vec<Customer>) -> Result<Self, DirectoryErrors> {
-        let keys = customers.iter().map(|customer| customer.keys.len()).sum();
-        let mut places: HashMap<KeyHash, usize> = HashMap::with_capacity(keys);
+        let key_count = customers.iter().map(|customer| customer.keys.len()).sum();
+        let mut places: HashMap<KeyHash, usize> = HashMap::with_capacity(key_count);
         let mut names = HashSet::new();
-        let mut mistakes = Vec::new();
-        for (place, customer) in customers.iter().enumerate() {
+        let mut errors = Vec::new();
+        for (index, customer) in customers.iter().enumerate() {
             if !names.insert(&customer.name) {
-                mistakes.push(DirectoryError::DuplicateName(customer.name.clone()));
+                errors.push(DirectoryError::DuplicateName(customer.name.clone()));
             }
             if !customer.weight.is_finite() || customer.weight < 0.0 {
-                mistakes.push(DirectoryError::InvalidWeight(customer.name.clone()));
+                errors.push(DirectoryError::InvalidWeight(customer.name.clone()));
             }
             for key in &customer.keys {
-                let first = *places.entry(*key).or_insert(place);
-                if first != place {
+                let first = *places.entry(*key).or_insert(index);
+                if first != index {
                     let first = customers[first].name.clone();
-                    mistakes.push(DirectoryError::SharedKey(first, customer.name.clone()));
+                    errors.push(DirectoryError::SharedKey(first, customer.name.clone()));
                 }
             }
         }
-        if mistakes.is_empty() {
+        if errors.is_empty() {
             Ok(Self { customers, places })
         } else {
-            Err(DirectoryErrors(mistakes))
+            Err(DirectoryErrors(errors))
         }
     }
 
-    /// The customer that a key belongs to.
+    /// Finds the customer to which a key belongs.
     pub fn find(&self, key: &str) -> Option<&Customer> {
         if key.len() > KEY_BYTES_MAX {
             return None;
         }
-        let place = self.places.get(&KeyHash::of(key))?;
-        self.customers.get(*place)
+        let index = self.places.get(&KeyHash::of(key))?;
+        self.customers.get(*index)
     }
 
-    /// All customers.
+    /// All customers, in the order of the manifest.
     pub fn customers(&self) -> &[Customer] {
         &self.customers
     }
--- a/crates/customers/src/key.rs
+++ b/crates/customers/src/key.rs
@@ -1,4 +1,4 @@
-//! Keys as they are kept: hashed, and never written out.
+//! API keys, which are stored as hashes and never written out.
 
 use std::fmt;
 use std::hash::Hash;
@@ -11,9 +11,9 @@
 use sha2::Sha256;
 use subtle::ConstantTimeEq;
 
-/// Bytes of a hash that logs show.
+/// Number of bytes of a hash that appear in logs.
 const FINGERPRINT_BYTES: usize = 4;
-/// The scheme of the header that carries a key.
+/// Scheme of the `Authorization` header that carries a key.
 const SCHEME: &str = "bearer";
 
 /// The SHA-256 of a key.
@@ -27,18 +27,18 @@
 impl std::error::Error for KeyHashError {}
 
 impl KeyHash {
-    /// The hash of a key.
+    /// Hashes a key.
     pub fn of(key: &str) -> Self {
         Self(Sha256::digest(key.as_bytes()).into())
     }
 
-    /// What people may see of it; a key cannot be told from it.
+    /// The first bytes in hexadecimal, for logs; the key cannot be derived from them.
     pub fn fingerprint(&self) -> String {
         hex(&self.0[..FINGERPRINT_BYTES])
     }
 }
 
-/// The time that a comparison takes does not tell how much of a guess was right.
+/// Compares in constant time, so that the duration does not reveal how many bytes match.
 impl PartialEq for KeyHash {
     fn eq(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
@@ -75,7 +75,8 @@
     }
 }
 
-/// The key in the value of an `Authorization` header; the scheme's case does not matter.
+/// Extracts the key from the value of an `Authorization` header. The scheme is matched
+/// without regard to case; `None` if it is not `Bearer` or the key is empty.
 pub fn bearer_key(value: &str) -> Option<&str> {
     let (scheme, key) = value.split_once(' ')?;
     let key = key.trim_matches(' ');
--- a/crates/customers/src/lib.rs
+++ b/crates/customers/src/lib.rs
@@ -1,9 +1,9 @@
-//! Customers of a pool: who may call, what each may use, and how long that is known.
+//! Customers of a pool: who may call, what each may use, and how fresh that data is.
 //!
 //! A [`Directory`] holds the customers of one version of the manifest and finds the
-//! one that a key belongs to. A [`FreshnessProof`] says up to which moment that version was the
-//! newest: a key that was taken away must not go on working at a daemon that has not
-//! heard of it, so a daemon whose proof is too old lets nobody in.
+//! customer to which a key belongs. A [`FreshnessProof`] states at which time that
+//! version was still the newest. A revoked key must not go on working at a daemon that
+//! has not heard of the revocation, so a daemon whose proof is too old admits no callers.
 
 mod directory;
 mod key;
--- a/crates/customers/tests/proof.rs
+++ b/crates/customers/tests/proof.rs
@@ -1,87 +1,97 @@
-//! A key that was taken away stops working in time, whatever answers and clocks do.
+//! A revoked key stops working in time, whatever delays and clock behaviour occur.
 //!
-//! Every order of a few moments is tried: the leader asks the store and hears the answer,
-//! another daemon asks the leader and hears it, both may be suspended in between, and a
-//! request comes at the last moment at which the daemon lets it in.
+//! The tests enumerate the order of a few events: the leader asks the store and receives
+//! the answer, another daemon asks the leader and receives its proof, both may be
+//! suspended in between, and a request arrives at the daemon.
 
 use stoatwell_customers::FreshnessLimits;
 use stoatwell_customers::FreshnessProof;
 
 const REVOKE_MS: u64 = 5_000;
-/// Moments are multiples of this.
+/// All times are multiples of this.
 const GRID_MS: u64 = 500;
-/// The moment of the leader's question, and the last of all.
-const BEGIN_MS: u64 = 100_000;
-const END_MS: u64 = BEGIN_MS + 9_000;
+/// Time of the leader's request to the store; the last time considered follows.
+const START_MS: u64 = 100_000;
+const END_MS: u64 = START_MS + 9_000;
 const OLD: u64 = 7;
 const NEW: u64 = 9;
 
-/// How the leader and the other daemon reckon.
+/// How the leader and the other daemon compute ages; all but `Correct` are faulty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    Sound,
-    /// The proof counts from the store's answer.
+enum Variant {
+    Correct,
+    /// The proof's age counts from the arrival of the store's answer.
     AgeFromReceipt,
-    /// The relayed proof counts from the leader's answer.
+    /// The relayed proof's age counts from the arrival of the leader's answer.
     RelayFromReceipt,
-    /// Clocks stand still while a machine is suspended.
+    /// Clocks stop while a machine is suspended.
     ClockStops,
-    /// A proof of any version is taken for one of the version at hand.
+    /// A proof of any version is accepted as one of the known version.
     AnyVersion,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Moments {
-    served: u64,
-    heard: u64,
-    asked: u64,
-    passed: u64,
-    arrived: u64,
+struct Timeline {
+    store_read: u64,
+    leader_received: u64,
+    daemon_asked: u64,
+    leader_relayed: u64,
+    daemon_received: u64,
     called: u64,
     /// Whether leader and daemon were suspended while they held the proof.
     suspended: bool,
 }
 
-/// Whether the daemon, which knows the old version, lets the call in.
-fn lets_in(way: Way, at: &Moments, revoked: u64) -> bool {
-    let answered = if revoked > at.served { OLD } else { NEW };
-    let sent = if way == Way::AgeFromReceipt { at.heard } else { BEGIN_MS };
-    let leader = FreshnessProof::from_store(answered, sent);
-    let slept = |from: u64, to: u64| {
-        if at.suspended && way == Way::ClockStops { to - from } else { 0 }
+/// Whether the daemon, which knows the old version, admits the call.
+fn admits_call(variant: Variant, timeline: &Timeline, revoked: u64) -> bool {
+    let read_version = if revoked > timeline.store_read { OLD } else { NEW };
+    let sent = if variant == Variant::AgeFromReceipt { timeline.leader_received } else { START_MS };
+    let leader = FreshnessProof::from_store(read_version, sent);
+    let paused_ms = |from: u64, to: u64| {
+        if timeline.suspended && variant == Variant::ClockStops { to - from } else { 0 }
     };
     // The leader's clock runs 2% slow.
-    let age_ms = leader.age_ms(at.passed - slept(at.heard, at.passed)) * 98 / 100;
-    let asked = if way == Way::RelayFromReceipt { at.arrived } else { at.asked };
-    let relayed = FreshnessProof::from_peer(leader.version, age_ms, asked);
-    let relayed =
-        if way == Way::AnyVersion { FreshnessProof { version: OLD, ..relayed } } else { relayed };
+    let age_ms = leader.age_ms(
+        timeline.leader_relayed - paused_ms(timeline.leader_received, timeline.leader_relayed),
+    ) * 98
+        / 100;
+    let age_start = if variant == Variant::RelayFromReceipt {
+        timeline.daemon_received
+    } else {
+        timeline.daemon_asked
+    };
+    let relayed = FreshnessProof::from_peer(leader.version, age_ms, age_start);
+    let relayed = if variant == Variant::AnyVersion {
+        FreshnessProof { version: OLD, ..relayed }
+    } else {
+        relayed
+    };
     let known = FreshnessProof { version: OLD, as_of_ms: 0 }.merge(relayed);
-    let now = at.called - slept(at.arrived, at.called);
+    let now = timeline.called - paused_ms(timeline.daemon_received, timeline.called);
     known.is_valid(now, &FreshnessLimits::new(REVOKE_MS))
 }
 
-/// Cases in which a call is let in later than allowed after its key was taken away.
-fn late_calls(way: Way) -> usize {
+/// Number of cases in which a call is admitted later than allowed after its key was revoked.
+fn count_late_calls(variant: Variant) -> usize {
     let grid = |from: u64| (from..=END_MS).step_by(GRID_MS as usize);
     let mut late = 0;
-    for served in grid(BEGIN_MS).take(4) {
-        for heard in grid(served).take(5) {
-            for asked in grid(BEGIN_MS).take(10) {
-                for passed in grid(heard.max(asked)).take(8) {
-                    for arrived in grid(passed).take(5) {
-                        for called in grid(arrived) {
+    for store_read in grid(START_MS).take(4) {
+        for leader_received in grid(store_read).take(5) {
+            for daemon_asked in grid(START_MS).take(10) {
+                for leader_relayed in grid(leader_received.max(daemon_asked)).take(8) {
+                    for daemon_received in grid(leader_relayed).take(5) {
+                        for called in grid(daemon_received) {
                             for suspended in [false, true] {
-                                let at = Moments {
-                                    served,
-                                    heard,
-                                    asked,
-                                    passed,
-                                    arrived,
+                                let timeline = Timeline {
+                                    store_read,
+                                    leader_received,
+                                    daemon_asked,
+                                    leader_relayed,
+                                    daemon_received,
                                     called,
                                     suspended,
                                 };
-                                late += late_for(way, &at);
+                                late += count_late_admissions(variant, &timeline);
                             }
                         }
                     }
@@ -92,30 +102,35 @@
     late
 }
 
-fn late_for(way: Way, at: &Moments) -> usize {
+fn count_late_admissions(variant: Variant, timeline: &Timeline) -> usize {
     let mut late = 0;
-    for revoked in (BEGIN_MS - REVOKE_MS..at.called).step_by(GRID_MS as usize) {
-        let allowed = at.called <= revoked + REVOKE_MS;
-        late += usize::from(!allowed && lets_in(way, at, revoked + 1));
+    for revoked in (START_MS - REVOKE_MS..timeline.called).step_by(GRID_MS as usize) {
+        let allowed = timeline.called <= revoked + REVOKE_MS;
+        late += usize::from(!allowed && admits_call(variant, timeline, revoked + 1));
     }
     late
 }
 
 #[test]
-fn a_revoked_key_is_let_in_by_no_order_of_answers_and_suspensions() {
-    assert_eq!(late_calls(Way::Sound), 0);
+fn a_revoked_key_is_admitted_in_no_order_of_answers_and_suspensions() {
+    assert_eq!(count_late_calls(Variant::Correct), 0);
 }
 
 #[test]
-fn the_model_finds_each_broken_way_to_reckon() {
-    for way in [Way::AgeFromReceipt, Way::RelayFromReceipt, Way::ClockStops, Way::AnyVersion] {
-        assert!(late_calls(way) > 0, "{way:?} is not found");
+fn the_model_detects_each_faulty_variant() {
+    for variant in [
+        Variant::AgeFromReceipt,
+        Variant::RelayFromReceipt,
+        Variant::ClockStops,
+        Variant::AnyVersion,
+    ] {
+        assert!(count_late_calls(variant) > 0, "{variant:?} is not detected");
     }
 }
 
-/// A daemon that is served by proofs alone must not refuse its callers needlessly.
+/// A daemon that only gets relayed proofs must not refuse callers needlessly.
 #[test]
-fn a_fresh_proof_lets_callers_in() {
+fn a_fresh_proof_admits_callers() {
     let limits = FreshnessLimits::new(REVOKE_MS);
     let proof = FreshnessProof::from_peer(OLD, 600, 10_000);
     assert!(proof.is_valid(10_400, &limits));
@@ -125,7 +140,7 @@
 }
 
 #[test]
-fn a_version_that_was_never_proved_lets_nobody_in() {
+fn a_version_without_proof_admits_no_callers() {
     let limits = FreshnessLimits::new(REVOKE_MS);
     assert!(!FreshnessProof::default().is_valid(100, &limits));
     assert!(FreshnessProof::default().needs_renewal(100, &limits));
