--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -1,15 +1,14 @@
-//! Retries as a share of first tries.
+//! Limits retries to a share of first attempts.
 //!
-//! When back ends fail, every request would be tried again and the load on
-//! what is left would multiply. One notices it as an outage that does not end
-//! when its cause does. A budget filled by first tries keeps retries at a
-//! fixed share.
+//! If every request were retried while back ends fail, the load on the remaining ones
+//! would multiply, and the outage would outlast its cause. Each first attempt adds a
+//! fixed share of a retry to the budget, and each retry takes one.
 
-const WHOLE_PERMILLE: u64 = 1_000;
-/// Retries that may be saved up.
-const SAVED_MAX: u64 = 50;
+const PERMILLE_PER_RETRY: u64 = 1_000;
+/// Maximum number of retries that can accumulate.
+const SAVED_RETRIES_MAX: u64 = 50;
 
-/// A budget of retries.
+/// Token bucket for retries, filled by first attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     permille: u64,
@@ -17,28 +16,28 @@
 }
 
 impl RetryBudget {
-    /// Allows this many retries for each thousand first tries.
+    /// Creates a budget of `permille` retries per thousand first attempts; 0 allows none.
     pub fn new(permille: u64) -> Self {
-        Self { permille, saved_permille: 10 * WHOLE_PERMILLE }
+        Self { permille, saved_permille: 10 * PERMILLE_PER_RETRY }
     }
 
-    /// A request is tried for the first time.
+    /// Records the first attempt of a request.
     pub fn on_first_try(&mut self) {
         let saved = self.saved_permille + self.permille;
-        self.saved_permille = saved.min(SAVED_MAX * WHOLE_PERMILLE);
+        self.saved_permille = saved.min(SAVED_RETRIES_MAX * PERMILLE_PER_RETRY);
     }
 
-    /// Whether another try is allowed; takes it from the budget if so.
+    /// Takes one retry from the budget; returns whether there was one.
     pub fn take(&mut self) -> bool {
-        if self.permille == 0 || self.saved_permille < WHOLE_PERMILLE {
+        if self.permille == 0 || self.saved_permille < PERMILLE_PER_RETRY {
             return false;
         }
-        self.saved_permille -= WHOLE_PERMILLE;
+        self.saved_permille -= PERMILLE_PER_RETRY;
         true
     }
 
-    /// Retries left.
+    /// Number of retries that are allowed now.
     pub fn left(&self) -> u64 {
-        if self.permille == 0 { 0 } else { self.saved_permille / WHOLE_PERMILLE }
+        if self.permille == 0 { 0 } else { self.saved_permille / PERMILLE_PER_RETRY }
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,9 +1,9 @@
-//! Requests to minions: slots, deadlines, breakers and retry budgets.
+//! Requests to minions: slots, deadlines, circuit breakers and retry budgets.
 //!
-//! Only the holder of a worker sends requests to the minions on it, so the
-//! slots it counts ([`minions`]) are all that are in use and no limit is ever
-//! passed by the sum of all entry instances. [`request_queue`] orders requests that
-//! found no slot, and [`budget`] keeps retries a small share of the traffic.
+//! Only the daemon that holds a worker sends requests to the minions on it. The slots
+//! that it counts ([`minions`]) are therefore all that are in use, and the daemons
+//! together never exceed a minion's limit. [`request_queue`] orders the requests that
+//! found no free slot, and [`budget`] keeps retries to a small share of the traffic.
 
 pub mod budget;
 pub mod minions;
--- a/crates/routing/src/minions.rs
+++ b/crates/routing/src/minions.rs
@@ -1,4 +1,4 @@
-//! Slots of the minions on held workers, and breakers.
+//! Request slots and circuit breakers of the minions on this daemon's workers.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -16,74 +16,76 @@
 pub struct Minions {
     breaker_failures: u32,
     breaker_open_ms: u64,
-    known: BTreeMap<MinionId, Minion>,
+    by_id: BTreeMap<MinionId, Minion>,
     groups: HashMap<String, Vec<MinionId>>,
-    turn: usize,
+    /// Offset within a group at which a search starts; rises with each search.
+    search_offset: usize,
 }
 
-/// One minion.
+/// Slots and breaker state of one minion.
 #[derive(Clone, Debug, Serialize)]
 pub struct Minion {
-    /// IP and port.
+    /// IP address and port.
     pub address: String,
     /// The worker that hosts it.
     pub worker: WorkerId,
-    /// Its group.
+    /// The group by which entries refer to it.
     pub group: String,
-    /// Requests it takes at once: the smaller of its slots and connections.
+    /// Maximum number of concurrent requests: the smaller of its slots and connections.
     pub limit: u32,
-    /// Requests sent from here that are not answered.
+    /// Requests sent from here that are not answered yet.
     pub busy: u32,
-    /// Requests in work that were not sent from here, as last reported: those
-    /// of an earlier holder.
+    /// Requests in progress that do not count in `busy`: sent by an earlier holder of the
+    /// worker according to the last report, or given up here.
     pub inherited: u32,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub failures: u32,
-    /// Left alone until then.
+    /// The breaker is open, and the minion gets no requests, until this time.
     pub open_until_ms: UnixMs,
-    /// Whom its worker serves, while it may take requests.
+    /// The owner that its worker serves; `None` while the worker takes no requests.
     pub serves: Option<OwnerName>,
 }
 
-/// A slot that was taken.
+/// A minion on which a slot was taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PickedMinion {
-    /// The minion.
+    /// The minion's identifier, with which the slot is released.
     pub minion: MinionId,
-    /// IP and port.
+    /// IP address and port.
     pub address: String,
     /// The worker that hosts it.
     pub worker: WorkerId,
 }
 
-/// How a request went, as far as the minion is concerned.
+/// How a request to a minion ended, for its slots and breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// Answered, well or badly.
+    /// The minion answered, with success or with an error.
     Answered,
-    /// No answer came, or no connection.
+    /// No answer arrived, or no connection was made.
     Failed,
-    /// The minion had no slot after all.
+    /// The minion refused the request because it had no free slot.
     Busy,
 }
 
 impl Minions {
-    /// None yet; a breaker opens after so many failures for so long.
+    /// Creates an empty set. A breaker opens for `breaker_open_ms` after `breaker_failures`
+    /// consecutive failures.
     pub fn new(breaker_failures: u64, breaker_open_ms: u64) -> Self {
         Self {
             breaker_failures: breaker_failures as u32,
             breaker_open_ms,
-            known: BTreeMap::new(),
+            by_id: BTreeMap::new(),
             groups: HashMap::new(),
-            turn: 0,
+            search_offset: 0,
         }
     }
 
-    /// Takes what a worker reports of its minions.
+    /// Adds or updates the minions that a worker reports when it becomes held.
     pub fn put_worker(&mut self, worker: &WorkerId, states: &[MinionState]) {
         for state in states {
-            let known = self.known.contains_key(&state.minion);
-            let minion = self.known.entry(state.minion.clone()).or_insert_with(|| Minion {
+            let is_known = self.by_id.contains_key(&state.minion);
+            let minion = self.by_id.entry(state.minion.clone()).or_insert_with(|| Minion {
                 address: state.address.clone(),
                 worker: worker.clone(),
                 group: state.group.clone(),
@@ -97,52 +99,53 @@
             minion.address.clone_from(&state.address);
             minion.limit = state.slots.min(state.connections);
             minion.inherited = state.busy.saturating_sub(minion.busy);
-            if !known {
+            if !is_known {
                 self.groups.entry(state.group.clone()).or_default().push(state.minion.clone());
             }
         }
     }
 
-    /// Takes what a held worker reports later on. Such a report is older than
-    /// what is known here, so it only tells that an earlier holder's requests ended.
+    /// Applies a later report of a held worker. It is older than the counts here, so
+    /// it only shows which requests of an earlier holder have ended.
     pub fn update(&mut self, states: &[MinionState]) {
         for state in states {
-            if let Some(minion) = self.known.get_mut(&state.minion) {
+            if let Some(minion) = self.by_id.get_mut(&state.minion) {
                 minion.inherited = minion.inherited.min(state.busy);
             }
         }
     }
 
-    /// Forgets the minions of a worker that is not held any more.
+    /// Removes the minions of a worker that is no longer held.
     pub fn remove_worker(&mut self, worker: &WorkerId) {
-        self.known.retain(|_, minion| minion.worker != *worker);
+        self.by_id.retain(|_, minion| minion.worker != *worker);
         for group in self.groups.values_mut() {
-            group.retain(|minion| self.known.contains_key(minion));
+            group.retain(|minion| self.by_id.contains_key(minion));
         }
     }
 
-    /// Says whom the minions of a worker serve; `None` while it drains.
+    /// Sets the owner that the minions of a worker serve; `None` while the worker drains.
     pub fn set_owner(&mut self, worker: &WorkerId, owner: Option<&OwnerName>) {
-        for minion in self.known.values_mut() {
+        for minion in self.by_id.values_mut() {
             if minion.worker == *worker {
                 minion.serves = owner.cloned();
             }
         }
     }
 
-    /// Takes a slot on the least busy minion of a group, none that failed of late first.
+    /// Takes a slot on a minion of the group that serves the owner. Prefers the fewest
+    /// consecutive failures, then the fewest requests in progress.
     pub fn pick(&mut self, now_ms: UnixMs, group: &str, owner: &OwnerName) -> Option<PickedMinion> {
         let members = self.groups.get(group)?;
-        self.turn = self.turn.wrapping_add(1);
+        self.search_offset = self.search_offset.wrapping_add(1);
         let count = members.len();
         let mut best: Option<(u32, u32, &MinionId)> = None;
         for offset in 0..count {
-            // Starting elsewhere each time spreads equal choices evenly.
-            let id = &members[(self.turn + offset) % count];
-            let Some(minion) = self.known.get(id) else {
+            // A different start each time spreads requests evenly over equal minions.
+            let id = &members[(self.search_offset + offset) % count];
+            let Some(minion) = self.by_id.get(id) else {
                 continue;
             };
-            if !minion.takes(now_ms, owner) {
+            if !minion.is_available(now_ms, owner) {
                 continue;
             }
             let key = (minion.failures, minion.in_use());
@@ -151,7 +154,7 @@
             }
         }
         let id = best.map(|(_, _, id)| id.clone())?;
-        let minion = self.known.get_mut(&id)?;
+        let minion = self.by_id.get_mut(&id)?;
         minion.busy += 1;
         Some(PickedMinion {
             minion: id,
@@ -160,41 +163,41 @@
         })
     }
 
-    /// Gives a slot back.
-    pub fn release(&mut self, now_ms: UnixMs, minion: &MinionId, ending: RequestEnd) {
-        let Some(found) = self.known.get_mut(minion) else {
+    /// Releases a slot and updates the breaker.
+    pub fn release(&mut self, now_ms: UnixMs, minion: &MinionId, end: RequestEnd) {
+        let Some(state) = self.by_id.get_mut(minion) else {
             return;
         };
-        found.busy = found.busy.saturating_sub(1);
-        match ending {
+        state.busy = state.busy.saturating_sub(1);
+        match end {
             RequestEnd::Answered => {
-                found.failures = 0;
-                found.open_until_ms = 0;
+                state.failures = 0;
+                state.open_until_ms = 0;
             }
-            // Somebody else's requests fill it; the next report tells how many.
-            RequestEnd::Busy => found.inherited = found.limit.saturating_sub(found.busy),
+            // Requests that were not sent from here fill it; the next report says how many.
+            RequestEnd::Busy => state.inherited = state.limit.saturating_sub(state.busy),
             RequestEnd::Failed => {
-                found.failures += 1;
-                // The minion may still be at work on what was given up.
-                found.inherited += 1;
-                if found.failures >= self.breaker_failures {
-                    found.open_until_ms = now_ms + self.breaker_open_ms;
+                state.failures += 1;
+                // The minion may still be working on the request that was given up.
+                state.inherited += 1;
+                if state.failures >= self.breaker_failures {
+                    state.open_until_ms = now_ms + self.breaker_open_ms;
                 }
             }
         }
     }
 
-    /// Free and all slots of each group.
+    /// Free and total slots of each group; minions that serve no owner do not count.
     pub fn summary(&self, now_ms: UnixMs) -> Vec<GroupSummary> {
         let mut summaries = Vec::new();
         for (group, members) in &self.groups {
             let mut summary = GroupSummary { group: group.clone(), free_slots: 0, slots: 0 };
-            for minion in members.iter().filter_map(|id| self.known.get(id)) {
+            for minion in members.iter().filter_map(|id| self.by_id.get(id)) {
                 let Some(owner) = &minion.serves else {
                     continue;
                 };
                 summary.slots += minion.limit;
-                if minion.takes(now_ms, owner) {
+                if minion.is_available(now_ms, owner) {
                     summary.free_slots += minion.limit - minion.in_use();
                 }
             }
@@ -204,21 +207,21 @@
         summaries
     }
 
-    /// Requests in work on a worker's minions, sent from anywhere.
+    /// Requests in progress on a worker's minions, from any daemon.
     pub fn in_use_on(&self, worker: &WorkerId) -> u32 {
-        let here = self.known.values().filter(|minion| minion.worker == *worker);
-        here.map(Minion::in_use).sum()
+        let on_worker = self.by_id.values().filter(|minion| minion.worker == *worker);
+        on_worker.map(Minion::in_use).sum()
     }
 
-    /// Requests sent from here to a worker's minions that are not answered.
+    /// Requests sent from here to a worker's minions that are not answered yet.
     pub fn busy_on(&self, worker: &WorkerId) -> u32 {
-        let here = self.known.values().filter(|minion| minion.worker == *worker);
-        here.map(|minion| minion.busy).sum()
+        let on_worker = self.by_id.values().filter(|minion| minion.worker == *worker);
+        on_worker.map(|minion| minion.busy).sum()
     }
 
-    /// All minions.
+    /// All minions, by identifier.
     pub fn all(&self) -> impl Iterator<Item = (&MinionId, &Minion)> {
-        self.known.iter()
+        self.by_id.iter()
     }
 }
 
@@ -227,8 +230,8 @@
         (self.busy + self.inherited).min(self.limit)
     }
 
-    fn takes(&self, now_ms: UnixMs, owner: &OwnerName) -> bool {
-        let serves = self.serves.as_ref() == Some(owner);
-        serves && self.open_until_ms <= now_ms && self.in_use() < self.limit
+    fn is_available(&self, now_ms: UnixMs, owner: &OwnerName) -> bool {
+        let serves_owner = self.serves.as_ref() == Some(owner);
+        serves_owner && self.open_until_ms <= now_ms && self.in_use() < self.limit
     }
 }
--- a/crates/routing/tests/minions.rs
+++ b/crates/routing/tests/minions.rs
@@ -1,4 +1,4 @@
-//! Slots, breakers and retry budgets.
+//! Request slots, circuit breakers and retry budgets.
 
 use stoatwell_model::MinionId;
 use stoatwell_model::OwnerName;
@@ -28,18 +28,22 @@
     (minions, owner)
 }
 
-/// A new holder takes over while requests of the old one are still in work. A
-/// minion that got its full number again would have too many.
+/// A new holder takes over while requests of the old one are still in progress. If they
+/// did not count, the minion would get more requests than its limit.
 #[test]
-fn requests_of_the_last_holder_count() {
+fn requests_of_the_previous_holder_count() {
     let (mut minions, owner) = minions(1, 4);
     assert!(minions.pick(0, "sahay", &owner).is_some());
     assert!(minions.pick(0, "sahay", &owner).is_some());
-    assert_eq!(minions.pick(0, "sahay", &owner), None, "six connections bound it, four are in use");
+    assert_eq!(
+        minions.pick(0, "sahay", &owner),
+        None,
+        "the limit is six connections, four were in use before"
+    );
 }
 
 #[test]
-fn least_busy_minion_is_taken_and_others_owners_get_none() {
+fn least_busy_minion_is_picked_and_other_owners_get_none() {
     let (mut minions, owner) = minions(3, 0);
     let mut names: Vec<String> = (0..3)
         .filter_map(|_| minions.pick(0, "sahay", &owner))
@@ -50,13 +54,13 @@
     assert_eq!(minions.pick(0, "sahay", &OwnerName::new("bluebonnet")), None);
 }
 
-/// A minion takes requests and never answers. Without a breaker each of them
-/// would cost its caller the whole deadline.
+/// A minion accepts requests and never answers. Without a breaker, each of them would
+/// cost its caller the whole deadline.
 #[test]
-fn minion_that_fails_is_left_alone_for_a_while() {
+fn breaker_opens_for_a_while_after_failures() {
     let (mut minions, owner) = minions(1, 0);
     for _ in 0..3 {
-        let picked = minions.pick(0, "sahay", &owner).expect("it is open");
+        let picked = minions.pick(0, "sahay", &owner).expect("the breaker is closed");
         minions.release(0, &picked.minion, RequestEnd::Failed);
     }
     assert_eq!(minions.pick(500, "sahay", &owner), None);
@@ -68,13 +72,13 @@
         connections: 6,
         busy: 0,
     }]);
-    let tried = minions.pick(1_500, "sahay", &owner).expect("it is tried again");
-    minions.release(1_500, &tried.minion, RequestEnd::Answered);
+    let retried = minions.pick(1_500, "sahay", &owner).expect("the minion is tried again");
+    minions.release(1_500, &retried.minion, RequestEnd::Answered);
     assert!(minions.pick(1_500, "sahay", &owner).is_some());
 }
 
-/// All minions fail and every request is tried again: the load doubles at the
-/// worst moment. Retries stay a share of the traffic.
+/// If all minions fail and every request is retried, the load doubles at the worst
+/// moment. The budget keeps retries to a share of the traffic.
 #[test]
 fn retries_stay_a_share_of_the_traffic() {
     let mut budget = RetryBudget::new(100);
@@ -84,19 +88,19 @@
         budget.on_first_try();
         retries += u32::from(budget.take());
     }
-    assert!((99..=101).contains(&retries), "{retries} retries for 1,000 tries");
-    let mut none = RetryBudget::new(0);
-    assert!(!none.take());
+    assert!((99..=101).contains(&retries), "{retries} retries for 1,000 first attempts");
+    let mut empty = RetryBudget::new(0);
+    assert!(!empty.take());
 }
 
-/// Requests whose callers have given up would still take slots from others.
+/// Requests whose callers have given up must not take slots from others.
 #[test]
-fn late_requests_leave_before_they_cost_a_slot() {
-    let mut waiting = RequestQueue::default();
-    waiting.push("sahay", 300, 3);
-    waiting.push("sahay", 100, 1);
-    waiting.push("sahay", 200, 2);
-    assert_eq!(waiting.take_expired(150), vec![1]);
-    assert_eq!(waiting.pop("sahay"), Some(2), "the earliest deadline first");
-    assert_eq!((waiting.len(), waiting.pop("other")), (1, None));
+fn expired_requests_leave_the_queue_without_a_slot() {
+    let mut queue = RequestQueue::default();
+    queue.push("sahay", 300, 3);
+    queue.push("sahay", 100, 1);
+    queue.push("sahay", 200, 2);
+    assert_eq!(queue.take_expired(150), vec![1]);
+    assert_eq!(queue.pop("sahay"), Some(2), "the earliest deadline comes first");
+    assert_eq!((queue.len(), queue.pop("other")), (1, None));
 }
