--- a/crates/node/src/advisors.rs
+++ b/crates/node/src/advisors.rs
@@ -15,9 +15,9 @@
 use stoatwell_model::WorkerId;
 use stoatwell_peer::Peers;
 use stoatwell_pool::Grant;
-use stoatwell_pool::LONG_ASK_MS;
+use stoatwell_pool::LONG_QUERY_MS;
 use stoatwell_pool::StepId;
-use stoatwell_pool::long_questions_max;
+use stoatwell_pool::long_queries_max;
 use tokio::sync::oneshot;
 
 use crate::clock::steady_ms;
@@ -233,11 +233,11 @@
     /// Gives waiting calls to daemons that are free for them.
     fn assign(&mut self, shared: &Arc<Mutex<Self>>) {
         let now_ms = steady_ms();
-        let long_max = long_questions_max(self.asking.len());
+        let long_max = long_queries_max(self.asking.len());
         let mut long_calls: usize = self.asking.values().map(|one| one.long_calls).sum();
         let mut later = BTreeMap::new();
         while let Some((key, call)) = self.waiting.pop_first() {
-            let long = call.cost_ms >= LONG_ASK_MS;
+            let long = call.cost_ms >= LONG_QUERY_MS;
             let all_pause = self.asking.values().all(|one| one.pause_until_ms > now_ms);
             let free = self.asking.iter_mut().filter(|(_, one)| {
                 one.busy_ms < AHEAD_MS && (all_pause || one.pause_until_ms <= now_ms)
@@ -272,7 +272,7 @@
     fn release(&mut self, shared: &Arc<Mutex<Self>>, address: &str, cost_ms: u64, came_to: CameTo) {
         if let Some(one) = self.asking.get_mut(address) {
             one.busy_ms = one.busy_ms.saturating_sub(cost_ms);
-            one.long_calls = one.long_calls.saturating_sub(usize::from(cost_ms >= LONG_ASK_MS));
+            one.long_calls = one.long_calls.saturating_sub(usize::from(cost_ms >= LONG_QUERY_MS));
             match came_to {
                 CameTo::Answered => one.failures = 0,
                 CameTo::Nothing => {
--- a/crates/node/src/duty.rs
+++ b/crates/node/src/duty.rs
@@ -8,7 +8,7 @@
 
 use serde::Deserialize;
 use serde::Serialize;
-use stoatwell_pool::EXTEND_MS;
+use stoatwell_pool::EXTENSION_WINDOW_MS;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::scheduler::Liveness;
@@ -167,13 +167,13 @@
     /// claims the duty now.
     ///
     /// One that gave the duty up does not, nor a former process of this daemon. Any
-    /// other may not know that its row is taken, and does until [`EXTEND_MS`] after
+    /// other may not know that its row is taken, and does until [`EXTENSION_WINDOW_MS`] after
     /// its last renewal.
     pub fn earlier_extends_ms(&self, me: &str, now_ms: u64) -> u64 {
         let Some((row, _)) = &self.row else { return 0 };
         let silent_ms = now_ms.saturating_sub(self.changed_ms);
         let ended = row.released || row.holder == me;
-        let holder_ms = if ended { 0 } else { EXTEND_MS + RENEWAL_LAG_MS };
+        let holder_ms = if ended { 0 } else { EXTENSION_WINDOW_MS + RENEWAL_LAG_MS };
         holder_ms.max(row.earlier_extends_ms).saturating_sub(silent_ms)
     }
 
--- a/crates/node/tests/duty.rs
+++ b/crates/node/tests/duty.rs
@@ -7,7 +7,7 @@
 use stoatwell_node::Liveness;
 use stoatwell_node::QUIET_MS;
 use stoatwell_node::probe_interval;
-use stoatwell_pool::EXTEND_MS;
+use stoatwell_pool::EXTENSION_WINDOW_MS;
 
 fn fit(name: &str, store_answer_ms: u64) -> Fitness {
     Fitness { name: name.to_owned(), cores: 0.5, link_mbps: 1_000.0, store_answer_ms }
@@ -74,7 +74,7 @@
     assert_eq!(view.earlier_extends_ms("me", 500), 0, "nobody was there");
     view.saw(Some((row("other"), 10)), 1_000);
     let after_lease_ms = view.earlier_extends_ms("me", 1_000 + LEASE_MS);
-    assert!((EXTEND_MS - LEASE_MS..=EXTEND_MS).contains(&after_lease_ms));
+    assert!((EXTENSION_WINDOW_MS - LEASE_MS..=EXTENSION_WINDOW_MS).contains(&after_lease_ms));
     view.saw(Some((row("me"), 11)), 3_000);
     assert_eq!(view.earlier_extends_ms("me", 3_100), 0);
     view.saw(Some((DutyRow { released: true, ..row("other") }, 12)), 4_000);
--- a/crates/pool/src/advise.rs
+++ b/crates/pool/src/advise.rs
@@ -28,7 +28,7 @@
 /// than one that is asked and one that is next.
 const QUESTIONS_EACH_MAX: usize = 4;
 /// A question that takes at least this is a long one.
-pub const LONG_ASK_MS: u64 = 200;
+pub const LONG_QUERY_MS: u64 = 200;
 /// Daemons kept for short questions, which urgent work waits for: one in this many ...
 const SHORT_ONLY_SHARE: usize = 5;
 /// ... and at least this many, as far as that is no more than half of them.
@@ -67,7 +67,7 @@
 
     /// Whether a question about this many workers may be asked now.
     pub(crate) fn may_ask(&self, rule: AdviceSpec, workers: usize) -> bool {
-        cost_ms(rule, workers) < LONG_ASK_MS || self.long_questions_left() > 0
+        cost_ms(rule, workers) < LONG_QUERY_MS || self.long_questions_left() > 0
     }
 
     /// How many questions about one gang may be asked at one time.
@@ -77,7 +77,7 @@
 
     /// How many more long questions may be under way.
     fn long_questions_left(&self) -> usize {
-        long_questions_max(self.advisors).saturating_sub(self.long_questions)
+        long_queries_max(self.advisors).saturating_sub(self.long_questions)
     }
 
     /// Asks the advisor about these workers, in as many questions as it takes.
@@ -91,7 +91,7 @@
             let cost_ms = cost_ms(rule, some.len());
             job.units[unit].advice.questions += 1;
             self.questions += 1;
-            self.long_questions += usize::from(cost_ms >= LONG_ASK_MS);
+            self.long_questions += usize::from(cost_ms >= LONG_QUERY_MS);
             let workers = some.to_vec();
             self.effects.push(Effect::Advise { step, workers, priority, cost_ms });
         }
@@ -107,7 +107,7 @@
     ) {
         let now_ms = self.now_ms;
         self.questions = self.questions.saturating_sub(1);
-        if cost_ms >= LONG_ASK_MS {
+        if cost_ms >= LONG_QUERY_MS {
             self.long_questions = self.long_questions.saturating_sub(1);
         }
         let Some(job) = self.jobs.get_mut(&step.job) else { return };
@@ -202,7 +202,7 @@
 
 /// How many long questions may be under way through this many daemons. More would wait
 /// for each other until the tickets that came first are old again.
-pub fn long_questions_max(daemons: usize) -> usize {
+pub fn long_queries_max(daemons: usize) -> usize {
     daemons - (daemons / SHORT_ONLY_SHARE).max(SHORT_ONLY_MIN.min(daemons / 2))
 }
 
--- a/crates/pool/src/choose.rs
+++ b/crates/pool/src/choose.rs
@@ -145,7 +145,7 @@
         waiting: &[u32],
         mut candidates: Vec<Candidate>,
     ) -> Vec<(u32, usize)> {
-        let room = ask.spec.room();
+        let room = ask.spec.worker_demand();
         let most = ask.spec.per_worker_max;
         candidates.retain(|one| self.rooms[one.at].takes(ask));
         // A worker that is the tightest fit stays so until it is full.
@@ -252,7 +252,7 @@
         allowed: &[Allowed],
         cycle: &Cycle,
     ) -> Vec<Candidate> {
-        let room = spec.room();
+        let room = spec.worker_demand();
         let mine = self.placed_counts(step, unit, spec);
         let mut candidates = Vec::with_capacity(allowed.len());
         for one in allowed {
@@ -280,7 +280,7 @@
         candidates: Vec<Candidate>,
         cycle: &mut Cycle,
     ) -> Vec<(u32, usize)> {
-        let need = ask.spec.room();
+        let need = ask.spec.worker_demand();
         let used = self.rack_in_use(ask.step, unit);
         let mut racks: BTreeMap<&str, (u64, Vec<Candidate>)> = BTreeMap::new();
         for one in &candidates {
--- a/crates/pool/src/holds.rs
+++ b/crates/pool/src/holds.rs
@@ -38,7 +38,7 @@
 /// may hold the duty by then and reach some workers that this one does not, and
 /// the other way round; tasks would run twice if both counted on their worker. Store
 /// outages of this and a lease, ten seconds, cycle without a run being lost.
-pub const EXTEND_MS: u64 = 4_000;
+pub const EXTENSION_WINDOW_MS: u64 = 4_000;
 /// Added to the lease that an earlier scheduler may have granted, for calls that
 /// were under way.
 const EARLIER_MARGIN_MS: u64 = 500;
@@ -82,7 +82,7 @@
     }
 
     /// Takes note that the duty was renewed at a moment, so that leases may be
-    /// extended for [`EXTEND_MS`] more.
+    /// extended for [`EXTENSION_WINDOW_MS`] more.
     pub fn note_renewal(&mut self, at_ms: u64) {
         self.renewed_ms = self.renewed_ms.max(at_ms);
     }
@@ -314,7 +314,7 @@
         let now_ms = self.now_ms;
         let lease_ms = self.limits.lease_ms;
         let turn = self.turn;
-        let renewed = now_ms < self.renewed_ms + EXTEND_MS;
+        let renewed = now_ms < self.renewed_ms + EXTENSION_WINDOW_MS;
         let many = self.workers.len() > WORKERS_MANY;
         let wait_ms = if many { HOLD_WAIT_MS * 2 } else { HOLD_WAIT_MS };
         let mut due = Vec::new();
--- a/crates/pool/src/job.rs
+++ b/crates/pool/src/job.rs
@@ -271,7 +271,7 @@
     /// What a task of a unit takes.
     pub fn taken(&self, unit: usize) -> Taken {
         let step = self.step(unit);
-        Taken { room: step.room(), demand: step.demand, customer: self.customer }
+        Taken { room: step.worker_demand(), demand: step.demand, customer: self.customer }
     }
 
     /// The place of a step among the units.
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -77,7 +77,7 @@
                 continue;
             }
             let spec = job.step(unit);
-            let (gang, room) = (spec.gang, spec.room());
+            let (gang, room) = (spec.gang, spec.worker_demand());
             let Some(service) = cycle.service(&job.spec.queue.service) else { continue };
             let in_backoff = job.units[unit].retry_at_ms > self.now_ms;
             if gang && in_backoff {
@@ -256,7 +256,7 @@
             }
         } else {
             for (_, at) in &chosen {
-                cycle.give_back(*at, &spec.room());
+                cycle.give_back(*at, &spec.worker_demand());
             }
         }
         if let Some(advice) = advice.filter(|_| may_ask) {
--- a/crates/pool/src/request.rs
+++ b/crates/pool/src/request.rs
@@ -42,7 +42,7 @@
         if advice.questions > 0 || advice.pause_until_ms > self.now_ms {
             return true;
         }
-        let need = spec.room();
+        let need = spec.worker_demand();
         let mut names = Vec::new();
         let mut has_room = false;
         for one in self.allowed(step, unit, spec, cycle) {
@@ -85,7 +85,7 @@
         let Some(job) = self.jobs.get(&step.job) else { return };
         let Some(service) = cycle.service(&job.spec.queue.service) else { return };
         let advice = &job.units[unit].advice;
-        let need = spec.room();
+        let need = spec.worker_demand();
         let places_of = |room: &Room| places_in(&room.capacity, &need);
         let granted_at = |slot: &Slot| cycle.at(*slot).map(|at| &cycle.rooms[at]);
         let places: u64 = advice.granted.keys().filter_map(granted_at).map(places_of).sum();
--- a/crates/pool/src/reserve.rs
+++ b/crates/pool/src/reserve.rs
@@ -48,7 +48,7 @@
             return self.renew_reservation(step, unit, priority, cycle, most);
         }
         let spec = job.step(unit);
-        let need = spec.room();
+        let need = spec.worker_demand();
         let wanted = job.units[unit].tasks.len();
         // When each place comes free, and on which worker.
         let mut coming: Vec<(u64, usize)> = Vec::new();
--- a/crates/pool/src/spec.rs
+++ b/crates/pool/src/spec.rs
@@ -178,7 +178,7 @@
     }
 
     /// The longest chain of estimated work.
-    pub fn chain_ms(&self) -> u64 {
+    pub fn critical_path_ms(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let before = step.after.iter().filter_map(|earlier| ends.get(*earlier as usize));
@@ -189,13 +189,13 @@
 
     /// How long after its arrival or due time the job is late.
     pub fn allowed_ms(&self) -> u64 {
-        self.queue.target_ms + (self.queue.slack_factor * self.chain_ms() as f64) as u64
+        self.queue.target_ms + (self.queue.slack_factor * self.critical_path_ms() as f64) as u64
     }
 }
 
 impl StepSpec {
     /// What one task takes from a worker's room.
-    pub fn room(&self) -> Resources {
+    pub fn worker_demand(&self) -> Resources {
         if self.fills {
             return Resources { cpu_millis: 0, ..self.demand };
         }
--- a/crates/pool/tests/failures.rs
+++ b/crates/pool/tests/failures.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use stoatwell_model::WorkerId;
-use stoatwell_pool::EXTEND_MS;
+use stoatwell_pool::EXTENSION_WINDOW_MS;
 use stoatwell_pool::JobState;
 
 use self::world::Faults;
@@ -263,7 +263,7 @@
     world.submit(1, job(queue(1), vec![step(1, 3_000, 60_000)]));
     world.run(500);
     world.renews = false;
-    world.run(EXTEND_MS - 500);
+    world.run(EXTENSION_WINDOW_MS - 500);
     assert!(world.workers.values().any(|worker| !worker.active.is_empty()), "not at once");
     world.run(500 + LEASE_MS * 1_025 / 1_000 + 600);
     assert!(world.workers.values().all(|worker| worker.active.is_empty()));
--- a/crates/pool/tests/world/worker.rs
+++ b/crates/pool/tests/world/worker.rs
@@ -316,7 +316,7 @@
         step: &StepSpec,
     ) {
         let run = Run {
-            room: step.room(),
+            room: step.worker_demand(),
             begun_ms: now_ms,
             takes_ms,
             fails,
