--- a/crates/pool/src/advise.rs
+++ b/crates/pool/src/advise.rs
@@ -41,7 +41,7 @@
 const IDLE_SHARE: usize = 4;
 /// A step has enough workers to choose from when they hold this many times its
 /// tasks while empty.
-pub(crate) const PLACES_FACTOR: u64 = 3;
+pub(crate) const SUFFICIENT_PLACES_FACTOR: u64 = 3;
 /// Fewest workers asked about at once, however long each takes.
 const ASKED_MIN: usize = 8;
 /// After a question without answer the next one waits this long.
@@ -52,7 +52,12 @@
     /// beside the decision, or as the step needs to have a choice. While questions
     /// queue up it is what the step needs: with few daemons left, long questions
     /// would let few jobs through.
-    pub(crate) fn asked_max(&self, queue: &QueueSpec, tasks: u64, places_each: u64) -> usize {
+    pub(crate) fn query_workers_max(
+        &self,
+        queue: &QueueSpec,
+        tasks: u64,
+        places_each: u64,
+    ) -> usize {
         let each_ms = queue.advice.map_or(0.0, |rule| rule.each_ms);
         let crowded = self.questions > self.advisors * QUESTIONS_EACH_MAX;
         let affordable = match each_ms {
@@ -61,17 +66,17 @@
             _ => usize::MAX,
         };
         let places_each = places_each.max(1) as f64 * self.learned.granted_share(&queue.name);
-        let needed = ((tasks * PLACES_FACTOR) as f64 / places_each).ceil() as usize;
+        let needed = ((tasks * SUFFICIENT_PLACES_FACTOR) as f64 / places_each).ceil() as usize;
         affordable.max(needed).clamp(ASKED_MIN, self.limits.advice_workers_max)
     }
 
     /// Whether a question about this many workers may be asked now.
-    pub(crate) fn may_ask(&self, rule: AdviceSpec, workers: usize) -> bool {
+    pub(crate) fn may_query(&self, rule: AdviceSpec, workers: usize) -> bool {
         cost_ms(rule, workers) < LONG_QUERY_MS || self.long_questions_left() > 0
     }
 
     /// How many questions about one gang may be asked at one time.
-    pub(crate) fn gang_questions_max(&self) -> usize {
+    pub(crate) fn gang_queries_max(&self) -> usize {
         (self.long_questions_left() / IDLE_SHARE).max(GANG_QUESTIONS_MIN)
     }
 
@@ -81,7 +86,7 @@
     }
 
     /// Asks the advisor about these workers, in as many questions as it takes.
-    pub(crate) fn ask(&mut self, step: StepId, workers: &[WorkerId]) {
+    pub(crate) fn query_advisor(&mut self, step: StepId, workers: &[WorkerId]) {
         let Some(job) = self.jobs.get_mut(&step.job) else { return };
         let Some(unit) = job.unit_of(step) else { return };
         let Some(rule) = job.spec.queue.advice else { return };
@@ -190,7 +195,7 @@
     }
 
     /// A worker refused a ticket; the next start asks for a new one.
-    pub(crate) fn drop_ticket(&mut self, id: TaskId, name: &WorkerId) {
+    pub(crate) fn invalidate_ticket(&mut self, id: TaskId, name: &WorkerId) {
         let Some(worker) = self.workers.get(name) else { return };
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
         let Some(unit) = job.unit_of(id.step) else { return };
--- a/crates/pool/src/choose.rs
+++ b/crates/pool/src/choose.rs
@@ -26,8 +26,8 @@
 /// The workers during one cycle.
 #[derive(Debug, Default)]
 pub(crate) struct Cycle {
-    pub rooms: Vec<Room>,
-    /// Places in `rooms` by the workers' slots.
+    pub workers: Vec<WorkerView>,
+    /// Places in `workers` by the workers' slots.
     places: Vec<Option<u32>>,
     services: Vec<Service>,
     /// What each customer has, by its number.
@@ -44,7 +44,7 @@
 
 /// A worker during one cycle.
 #[derive(Clone, Debug)]
-pub(crate) struct Room {
+pub(crate) struct WorkerView {
     pub slot: Slot,
     /// Its service, as [`Cycle::service`] numbers it.
     pub service: usize,
@@ -84,31 +84,31 @@
 /// A worker that may run a unit's tasks, with room or without.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Allowed {
-    pub at: usize,
+    pub index: usize,
     /// Whether a start could show a ticket that is good, or needs none.
-    pub fresh: bool,
+    pub ticket_fresh: bool,
 }
 
 /// A worker with room for a unit's tasks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
-    at: usize,
+    index: usize,
     /// Added to how much it leaves free; lower goes first.
     bias: f64,
     /// Tasks of the unit that it has already.
     mine: u32,
 }
 
-impl Room {
+impl WorkerView {
     /// Whether work of this unit may go here.
-    pub fn is_for(&self, step: StepId, priority: u32) -> bool {
+    pub fn admits(&self, step: StepId, priority: u32) -> bool {
         self.reserved_for
             .is_none_or(|reserved| reserved.step == step || priority < reserved.priority)
     }
 
     /// Whether a task of this unit may go here now.
     fn takes(&self, ask: &Ask<'_>) -> bool {
-        self.is_for(ask.step, ask.priority)
+        self.admits(ask.step, ask.priority)
             || self.reserved_for.is_some_and(|reserved| ask.over_ms <= reserved.until_ms)
     }
 }
@@ -119,20 +119,20 @@
         self.services.iter().position(|service| service.name == name)
     }
 
-    /// The place of a worker in `rooms`, if it is open.
-    pub fn at(&self, slot: Slot) -> Option<usize> {
+    /// The place of a worker in `workers`, if it is open.
+    pub fn index_of(&self, slot: Slot) -> Option<usize> {
         self.places.get(slot.0).copied().flatten().map(|at| at as usize)
     }
 
     fn take(&mut self, at: usize, room: &Resources) {
-        self.rooms[at].free = self.rooms[at].free.minus(room);
-        let sum = &mut self.services[self.rooms[at].service].free;
+        self.workers[at].free = self.workers[at].free.minus(room);
+        let sum = &mut self.services[self.workers[at].service].free;
         *sum = sum.minus(room);
     }
 
     pub fn give_back(&mut self, at: usize, room: &Resources) {
-        self.rooms[at].free = self.rooms[at].free.plus(room);
-        let sum = &mut self.services[self.rooms[at].service].free;
+        self.workers[at].free = self.workers[at].free.plus(room);
+        let sum = &mut self.services[self.workers[at].service].free;
         *sum = sum.plus(room);
     }
 
@@ -147,20 +147,20 @@
     ) -> Vec<(u32, usize)> {
         let room = ask.spec.worker_demand();
         let most = ask.spec.per_worker_max;
-        candidates.retain(|one| self.rooms[one.at].takes(ask));
+        candidates.retain(|one| self.workers[one.index].takes(ask));
         // A worker that is the tightest fit stays so until it is full.
         candidates.sort_by(|a, b| self.left_with(a, &room).total_cmp(&self.left_with(b, &room)));
         let mut chosen = Vec::new();
         let mut waiting = waiting.iter();
         for mut one in candidates {
-            while self.rooms[one.at].free.holds(&room) && (most == 0 || one.mine < most) {
+            while self.workers[one.index].free.holds(&room) && (most == 0 || one.mine < most) {
                 if !self.leaves_headroom(ask, &room) {
                     return chosen;
                 }
                 let Some(index) = waiting.next() else { return chosen };
                 one.mine += 1;
-                self.take(one.at, &room);
-                chosen.push((*index, one.at));
+                self.take(one.index, &room);
+                chosen.push((*index, one.index));
             }
         }
         chosen
@@ -168,7 +168,7 @@
 
     /// How much a candidate would have left, with what speaks against it.
     fn left_with(&self, one: &Candidate, room: &Resources) -> f64 {
-        let view = &self.rooms[one.at];
+        let view = &self.workers[one.index];
         view.free.minus(room).dominant_share(&view.capacity) + one.bias
     }
 
@@ -183,8 +183,8 @@
 impl Pool {
     /// The open workers as they are now.
     pub(crate) fn begin_cycle(&self) -> Cycle {
-        let mut cycle = Cycle { customers: self.customers_use(), ..Cycle::default() };
-        cycle.rooms.reserve(self.workers.len());
+        let mut cycle = Cycle { customers: self.customer_usage(), ..Cycle::default() };
+        cycle.workers.reserve(self.workers.len());
         cycle.places.resize(self.names.len(), None);
         let blamed = self.blamed_services();
         for worker in self.workers.values() {
@@ -201,8 +201,8 @@
             });
             let sum = &mut cycle.services[service].free;
             *sum = sum.plus(&free);
-            cycle.places[worker.slot.0] = Some(cycle.rooms.len() as u32);
-            cycle.rooms.push(Room {
+            cycle.places[worker.slot.0] = Some(cycle.workers.len() as u32);
+            cycle.workers.push(WorkerView {
                 slot: worker.slot,
                 service,
                 life: worker.info.life,
@@ -256,16 +256,16 @@
         let mine = self.placed_counts(step, unit, spec);
         let mut candidates = Vec::with_capacity(allowed.len());
         for one in allowed {
-            let view = &cycle.rooms[one.at];
+            let view = &cycle.workers[one.index];
             if !view.free.holds(&room) {
                 continue;
             }
             let far = spec.near_rack.is_some()
                 && spec.near_rack.as_deref() != self.worker_at(view.slot).and_then(Worker::rack);
             let last = far || view.suspect;
-            let bias = f64::from(u8::from(last)) * 4.0 + f64::from(u8::from(!one.fresh));
+            let bias = f64::from(u8::from(last)) * 4.0 + f64::from(u8::from(!one.ticket_fresh));
             let mine = mine.get(&view.slot).copied().unwrap_or(0);
-            candidates.push(Candidate { at: one.at, bias, mine });
+            candidates.push(Candidate { index: one.index, bias, mine });
         }
         candidates
     }
@@ -284,7 +284,7 @@
         let used = self.rack_in_use(ask.step, unit);
         let mut racks: BTreeMap<&str, (u64, Vec<Candidate>)> = BTreeMap::new();
         for one in &candidates {
-            let room = &cycle.rooms[one.at];
+            let room = &cycle.workers[one.index];
             let Some(rack) = self.worker_at(room.slot).and_then(Worker::rack) else {
                 continue;
             };
--- a/crates/pool/src/commit.rs
+++ b/crates/pool/src/commit.rs
@@ -372,7 +372,7 @@
                     if worker.info.life != life {
                         continue;
                     }
-                    worker.not_durable.remove(&number);
+                    worker.non_durable_ends.remove(&number);
                     worker.next_hold_ms = self.now_ms;
                 }
                 After::Settle(job) => self.on_settled(job),
--- a/crates/pool/src/customers.rs
+++ b/crates/pool/src/customers.rs
@@ -157,7 +157,7 @@
     }
 
     /// What each customer has on all workers, by its number.
-    pub(crate) fn customers_use(&self) -> Vec<Resources> {
+    pub(crate) fn customer_usage(&self) -> Vec<Resources> {
         let mut used = vec![Resources::ZERO; self.customers.len()];
         for worker in self.workers.values() {
             for (id, taken) in &worker.by_customer {
--- a/crates/pool/src/dump.rs
+++ b/crates/pool/src/dump.rs
@@ -95,7 +95,7 @@
                 tasks: worker.tasks.len(),
                 used: worker.used,
                 capacity: worker.info.capacity,
-                silent_calls: worker.silent,
+                silent_calls: worker.unanswered_calls,
             });
         }
         PoolDump {
@@ -110,7 +110,7 @@
 
     /// What customers have and may have.
     pub fn customers(&self) -> Vec<CustomerDump> {
-        let both = self.customers.limits().zip(self.customers_use());
+        let both = self.customers.limits().zip(self.customer_usage());
         let dump = |(limits, used): (&CustomerLimits, Resources)| CustomerDump {
             customer: limits.name.clone(),
             weight: limits.weight,
@@ -129,7 +129,7 @@
         }
         if let Some(customer) = job.customer {
             let limits = &self.customers.get(customer).limits;
-            let used = self.customers_use().get(customer.0).copied().unwrap_or_default();
+            let used = self.customer_usage().get(customer.0).copied().unwrap_or_default();
             let name = &limits.name;
             lines.push(format!(
                 "customer {name}: has {used:?} of {:?}, weight {}, beyond it {}",
@@ -171,7 +171,7 @@
         }
         for worker in self.workers.values() {
             counts.open_workers += usize::from(worker.is_open(self.now_ms));
-            counts.silent_workers += usize::from(worker.silent > 0);
+            counts.silent_workers += usize::from(worker.unanswered_calls > 0);
             counts.free_cpu_millis += worker.free().cpu_millis;
             counts.used_cpu_millis += worker.used.cpu_millis;
         }
--- a/crates/pool/src/learned.rs
+++ b/crates/pool/src/estimates.rs
@@ -24,7 +24,7 @@
 
 /// What is learned.
 #[derive(Debug, Default)]
-pub(crate) struct Learned {
+pub(crate) struct Estimates {
     queues: HashMap<String, Mean>,
     /// Processors and memory by service and rank.
     used: HashMap<String, BTreeMap<u32, (f64, f64)>>,
@@ -39,9 +39,9 @@
     answers: u32,
 }
 
-impl Learned {
+impl Estimates {
     /// Takes note of a run that did well.
-    pub fn ran(&mut self, queue: &str, took_ms: u64) {
+    pub fn record_run(&mut self, queue: &str, took_ms: u64) {
         if !self.queues.contains_key(queue) {
             self.queues.insert(queue.to_owned(), Mean::default());
         }
@@ -79,7 +79,7 @@
     }
 
     /// Takes note of the room that work of each rank takes now at a service.
-    pub fn saw_use(&mut self, service: &str, used: &BTreeMap<u32, Resources>) {
+    pub fn record_usage(&mut self, service: &str, used: &BTreeMap<u32, Resources>) {
         if !self.used.contains_key(service) {
             self.used.insert(service.to_owned(), BTreeMap::new());
         }
--- a/crates/pool/src/holds.rs
+++ b/crates/pool/src/holds.rs
@@ -76,7 +76,7 @@
     }
 
     /// When whatever an earlier scheduler allowed has lapsed for sure.
-    pub(crate) fn earlier_lapse_ms(&self) -> u64 {
+    pub(crate) fn earlier_lease_expiry_ms(&self) -> u64 {
         let lease_ms = by_slow_clock(self.limits.lease_ms) + EARLIER_MARGIN_MS;
         self.started_ms + self.election.earlier_extends_ms + lease_ms
     }
@@ -138,8 +138,8 @@
         let Some(worker) = self.workers.get_mut(name) else { return };
         worker.held = false;
         worker.clock = None;
-        worker.until_max = 0;
-        worker.earlier_lapse_ms = 0;
+        worker.lease_end_max = 0;
+        worker.earlier_lease_expiry_ms = 0;
         worker.strangers.clear();
         worker.next_hold_ms = self.now_ms + HOLD_PAUSE_MS;
         worker.add_up();
@@ -199,9 +199,9 @@
             return;
         }
         worker.answered_ms = now_ms;
-        worker.silent = 0;
+        worker.unanswered_calls = 0;
         worker.lost = false;
-        worker.refuses = false;
+        worker.refuses_connections = false;
         worker.clock = Some((reply.clock_ms, now_ms));
         if !worker.held {
             tracing::info!(worker = %name, active = reply.active.len(), ended = reply.ended.len(), "worker held");
@@ -217,12 +217,12 @@
 
     fn on_hold_failed(&mut self, name: &WorkerId, error: CallError) {
         let Some(worker) = self.workers.get_mut(name) else { return };
-        worker.silent += 1;
-        if worker.silent == 1 {
+        worker.unanswered_calls += 1;
+        if worker.unanswered_calls == 1 {
             tracing::warn!(worker = %name, %error, tasks = worker.tasks.len(), "hold not answered");
         }
         match error {
-            CallError::Refused => worker.refuses = true,
+            CallError::Refused => worker.refuses_connections = true,
             CallError::OtherLife => self.lose_worker(name, "another one answers at its address"),
             CallError::Superseded => {
                 tracing::warn!(worker = %name, "worker follows a higher token");
@@ -242,7 +242,7 @@
             let life = worker.info.life;
             let job = ended.task.step.job;
             if self.jobs.contains_key(&job) {
-                worker.not_durable.insert(ended.number);
+                worker.non_durable_ends.insert(ended.number);
                 let after = After::Forget { worker: name.clone(), life, number: ended.number };
                 self.commits.note(job, after);
             }
@@ -310,7 +310,7 @@
     }
 
     /// Sends the holds that are due.
-    pub(crate) fn call_workers(&mut self) {
+    pub(crate) fn send_due_holds(&mut self) {
         let now_ms = self.now_ms;
         let lease_ms = self.limits.lease_ms;
         let turn = self.turn;
@@ -327,7 +327,10 @@
             }
             // Ends whose rows are not durable yet would be returned at once,
             // again and again; their commit makes the next hold due.
-            if !probe && worker.held && !worker.not_durable.is_empty() && !near_end(worker, now_ms)
+            if !probe
+                && worker.held
+                && !worker.non_durable_ends.is_empty()
+                && !near_end(worker, now_ms)
             {
                 continue;
             }
@@ -337,10 +340,10 @@
             }
             // A worker that is silent gets no longer lease: whatever was allowed
             // before has to lapse some day, or its tasks could never go elsewhere.
-            let extends = worker.held && worker.silent == 0 && renewed;
-            let until_ms = worker.until(now_ms, lease_ms).filter(|_| extends);
-            worker.until_max = worker.until_max.max(until_ms.unwrap_or(0));
-            let at_once = probe || !worker.held || !worker.not_durable.is_empty();
+            let extends = worker.held && worker.unanswered_calls == 0 && renewed;
+            let until_ms = worker.lease_end(now_ms, lease_ms).filter(|_| extends);
+            worker.lease_end_max = worker.lease_end_max.max(until_ms.unwrap_or(0));
+            let at_once = probe || !worker.held || !worker.non_durable_ends.is_empty();
             let wait_ms = if at_once { 0 } else { wait_ms };
             due.push((name.clone(), until_ms, worker.forget(), wait_ms));
         }
@@ -356,10 +359,10 @@
         let mut lapsed = Vec::new();
         let mut gone = Vec::new();
         for (name, worker) in &self.workers {
-            if worker.silent > 0 && !worker.tasks.is_empty() && worker.is_lapsed(now_ms) {
+            if worker.unanswered_calls > 0 && !worker.tasks.is_empty() && worker.is_lapsed(now_ms) {
                 lapsed.push(name.clone());
             }
-            if !worker.listed && worker.tasks.is_empty() && worker.silent > 0 {
+            if !worker.listed && worker.tasks.is_empty() && worker.unanswered_calls > 0 {
                 gone.push(name.clone());
             }
         }
--- a/crates/pool/src/job.rs
+++ b/crates/pool/src/job.rs
@@ -16,9 +16,9 @@
 use crate::record::TaskProgress;
 use crate::spec::JobSpec;
 use crate::spec::StepSpec;
+use crate::worker::Allocation;
 use crate::worker::FULL_PACE;
 use crate::worker::Slot;
-use crate::worker::Taken;
 use crate::worker::Worker;
 
 /// Where a task stands.
@@ -269,9 +269,13 @@
     }
 
     /// What a task of a unit takes.
-    pub fn taken(&self, unit: usize) -> Taken {
+    pub fn taken(&self, unit: usize) -> Allocation {
         let step = self.step(unit);
-        Taken { room: step.worker_demand(), demand: step.demand, customer: self.customer }
+        Allocation {
+            worker_demand: step.worker_demand(),
+            demand: step.demand,
+            customer: self.customer,
+        }
     }
 
     /// The place of a step among the units.
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -15,11 +15,11 @@
 mod commit;
 mod customers;
 mod dump;
+mod estimates;
 mod event;
 mod holds;
 mod id;
 mod job;
-mod learned;
 mod pace;
 mod place;
 mod record;
@@ -44,9 +44,9 @@
 
 use crate::commit::Commits;
 use crate::customers::Customers;
+use crate::estimates::Estimates;
 use crate::job::Job;
 use crate::job::Phase;
-use crate::learned::Learned;
 use crate::worker::Slot;
 use crate::worker::Worker;
 
@@ -148,7 +148,7 @@
     timed: BTreeSet<(u64, StepId)>,
     arrivals: u64,
     commits: Commits,
-    learned: Learned,
+    learned: Estimates,
     /// Questions to the advisor that are under way, and the long ones among them.
     questions: usize,
     long_questions: usize,
@@ -200,7 +200,7 @@
             timed: BTreeSet::new(),
             arrivals: 0,
             commits: Commits::default(),
-            learned: Learned::default(),
+            learned: Estimates::default(),
             questions: 0,
             long_questions: 0,
             advisors: 1,
@@ -247,7 +247,7 @@
         // A start may have reached a later life than the one that it was meant
         // for, so whatever the rows say of lives, the first hold tells.
         worker.info.life = worker.info.life.max(row.life);
-        worker.take(id, taken);
+        worker.allocate(id, taken);
         if over {
             // The earlier scheduler may have died before its stop got there.
             self.stop(id);
@@ -258,7 +258,7 @@
     pub(crate) fn add_worker(&mut self, update: WorkerUpdate, listed: bool) {
         let slot = Slot(self.names.len());
         let name = update.worker.clone();
-        let worker = Worker { listed, ..Worker::new(slot, update, self.earlier_lapse_ms()) };
+        let worker = Worker { listed, ..Worker::new(slot, update, self.earlier_lease_expiry_ms()) };
         self.names.push(name.clone());
         self.workers.insert(name, worker);
     }
@@ -310,7 +310,7 @@
             self.place();
         }
         self.commit();
-        self.call_workers();
+        self.send_due_holds();
         if self.deposed {
             self.effects.push(Effect::StepDown);
         }
@@ -488,11 +488,11 @@
             for (task, taken) in &worker.tasks {
                 let Some(job) = self.jobs.get(&task.step.job) else { continue };
                 let sum = ranks.entry(job.spec.queue.priority).or_default();
-                *sum = sum.plus(&taken.room);
+                *sum = sum.plus(&taken.worker_demand);
             }
         }
         for (service, ranks) in used {
-            self.learned.saw_use(service, &ranks);
+            self.learned.record_usage(service, &ranks);
         }
     }
 
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -16,7 +16,7 @@
 use crate::choose::Allowed;
 use crate::choose::Ask;
 use crate::choose::Cycle;
-use crate::choose::Room;
+use crate::choose::WorkerView;
 use crate::id::StepId;
 use crate::id::TaskId;
 use crate::job::Phase;
@@ -60,7 +60,7 @@
             return;
         }
         let mut cycle = self.begin_cycle();
-        let reserved_max = cycle.rooms.len() * RESERVED_PERCENT / 100;
+        let reserved_max = cycle.workers.len() * RESERVED_PERCENT / 100;
         let may_reserve = |reserved: usize| {
             if reserved == 0 { usize::MAX } else { reserved_max.saturating_sub(reserved) }
         };
@@ -120,7 +120,7 @@
                     let urgent = key.priority == 0;
                     let pause_ms = if urgent { URGENT_RETRY_BACKOFF_MS } else { RETRY_BACKOFF_MS };
                     self.back_off(step, unit, pause_ms);
-                    let mut mine = cycle.rooms.iter().filter(|at| at.service == service);
+                    let mut mine = cycle.workers.iter().filter(|at| at.service == service);
                     if !mine.any(|at| at.free.holds(&room)) {
                         lacking.push((service, room));
                     }
@@ -227,7 +227,7 @@
         let mut allowed = self.allowed(step, unit, &spec, cycle);
         let with_old_tickets = allowed.len();
         if advice.is_some() && !spec.gang {
-            allowed.retain(|one| one.fresh);
+            allowed.retain(|one| one.ticket_fresh);
         }
         let candidates = self.candidates(step, unit, &spec, &allowed, cycle);
         let headroom = self.headroom(step, key);
@@ -240,10 +240,10 @@
         };
         let whole = chosen.len() == tasks_left;
         let may_start = whole || !spec.gang;
-        let may_ask = self.may_renew(step, advice, &chosen, cycle);
-        if !chosen.is_empty() && may_start && may_ask {
+        let may_query = self.may_renew(step, advice, &chosen, cycle);
+        if !chosen.is_empty() && may_start && may_query {
             for (index, at) in &chosen {
-                let name = self.names[cycle.rooms[*at].slot.0].clone();
+                let name = self.names[cycle.workers[*at].slot.0].clone();
                 self.reserve(TaskId { step, index: *index }, &name);
             }
             if let Some(customer) = customer {
@@ -259,7 +259,7 @@
                 cycle.give_back(*at, &spec.worker_demand());
             }
         }
-        if let Some(advice) = advice.filter(|_| may_ask) {
+        if let Some(advice) = advice.filter(|_| may_query) {
             if with_old_tickets > allowed.len() && self.renew_tickets(step, unit, &spec, cycle) {
                 return Attempt::Waits;
             }
@@ -278,8 +278,8 @@
     ) -> bool {
         let Some(rule) = advice else { return true };
         let fresh =
-            |(_, at): &(u32, usize)| self.has_fresh_ticket(step, self.name_of(&cycle.rooms[*at]));
-        (!chosen.is_empty() && chosen.iter().all(fresh)) || self.may_ask(rule, chosen.len())
+            |(_, at): &(u32, usize)| self.has_fresh_ticket(step, self.name_of(&cycle.workers[*at]));
+        (!chosen.is_empty() && chosen.iter().all(fresh)) || self.may_query(rule, chosen.len())
     }
 
     /// The workers that may run a step, with room or without.
@@ -294,26 +294,26 @@
         let Some(service) = cycle.service(&job.spec.queue.service) else { return Vec::new() };
         let mut allowed = Vec::new();
         if job.spec.queue.advice.is_none() {
-            for (at, room) in cycle.rooms.iter().enumerate() {
+            for (index, room) in cycle.workers.iter().enumerate() {
                 if self.is_eligible(service, spec, room) {
-                    allowed.push(Allowed { at, fresh: true });
+                    allowed.push(Allowed { index, ticket_fresh: true });
                 }
             }
             return allowed;
         }
         let sent_ms = self.sent_ms(step.job, job.spec.queue.advice);
         for (slot, ticket) in &job.units[unit].advice.granted {
-            let Some(at) = cycle.at(*slot) else { continue };
-            let room = &cycle.rooms[at];
+            let Some(index) = cycle.index_of(*slot) else { continue };
+            let room = &cycle.workers[index];
             if self.is_eligible(service, spec, room) {
-                allowed.push(Allowed { at, fresh: ticket.is_fresh(room.life, sent_ms) });
+                allowed.push(Allowed { index, ticket_fresh: ticket.is_fresh(room.life, sent_ms) });
             }
         }
         allowed
     }
 
     /// Whether a worker is of the service and has the label.
-    pub(crate) fn is_eligible(&self, service: usize, spec: &StepSpec, room: &Room) -> bool {
+    pub(crate) fn is_eligible(&self, service: usize, spec: &StepSpec, room: &WorkerView) -> bool {
         let has_label = |label| {
             let worker = self.worker_at(room.slot);
             worker.is_some_and(|worker| worker.info.labels.contains(label))
@@ -321,7 +321,7 @@
         room.service == service && spec.label.as_ref().is_none_or(has_label)
     }
 
-    pub(crate) fn name_of(&self, room: &Room) -> &WorkerId {
+    pub(crate) fn name_of(&self, room: &WorkerView) -> &WorkerId {
         &self.names[room.slot.0]
     }
 
@@ -333,7 +333,7 @@
         task.phase = Phase::Reserved;
         task.worker = Some(name.clone());
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.take(id, taken);
+            worker.allocate(id, taken);
         }
     }
 
@@ -345,7 +345,7 @@
         let mut stale = false;
         let mut ready = Vec::new();
         for (index, at) in chosen {
-            let name = self.name_of(&cycle.rooms[*at]);
+            let name = self.name_of(&cycle.workers[*at]);
             if !names.contains(name) {
                 names.push(name.clone());
             }
@@ -355,7 +355,7 @@
         if stale {
             // Asked for all of them: tickets that are good now may be old when
             // the answer comes, and one old ticket keeps a gang from starting.
-            self.ask(step, &names);
+            self.query_advisor(step, &names);
             return;
         }
         self.record_starts(step, &ready);
--- a/crates/pool/src/request.rs
+++ b/crates/pool/src/request.rs
@@ -6,9 +6,9 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::Pool;
-use crate::advise::PLACES_FACTOR;
+use crate::advise::SUFFICIENT_PLACES_FACTOR;
 use crate::choose::Cycle;
-use crate::choose::Room;
+use crate::choose::WorkerView;
 use crate::choose::places_in;
 use crate::id::StepId;
 use crate::spec::AdviceSpec;
@@ -46,14 +46,14 @@
         let mut names = Vec::new();
         let mut has_room = false;
         for one in self.allowed(step, unit, spec, cycle) {
-            let room = &cycle.rooms[one.at];
+            let room = &cycle.workers[one.index];
             has_room |= room.free.holds(&need);
             names.push(self.name_of(room).clone());
         }
         names.truncate(self.limits.advice_workers_max);
         let Some(rule) = job.spec.queue.advice else { return false };
-        if has_room && self.may_ask(rule, names.len()) {
-            self.ask(step, &names);
+        if has_room && self.may_query(rule, names.len()) {
+            self.query_advisor(step, &names);
         }
         has_room
     }
@@ -86,18 +86,18 @@
         let Some(service) = cycle.service(&job.spec.queue.service) else { return };
         let advice = &job.units[unit].advice;
         let need = spec.worker_demand();
-        let places_of = |room: &Room| places_in(&room.capacity, &need);
-        let granted_at = |slot: &Slot| cycle.at(*slot).map(|at| &cycle.rooms[at]);
+        let places_of = |room: &WorkerView| places_in(&room.capacity, &need);
+        let granted_at = |slot: &Slot| cycle.index_of(*slot).map(|at| &cycle.workers[at]);
         let places: u64 = advice.granted.keys().filter_map(granted_at).map(places_of).sum();
-        let enough = places >= u64::from(spec.tasks) * PLACES_FACTOR;
+        let enough = places >= u64::from(spec.tasks) * SUFFICIENT_PLACES_FACTOR;
         let first = advice.asked.is_empty();
         let any_room = first || !enough;
-        let free_at = |room: &Room| {
-            if room.is_for(step, priority) { places_in(&room.free, &need) } else { 0 }
+        let free_at = |room: &WorkerView| {
+            if room.admits(step, priority) { places_in(&room.free, &need) } else { 0 }
         };
         // Those with the most room first.
         let mut fresh: Vec<(Reverse<u64>, u64, usize)> = Vec::new();
-        for (at, room) in cycle.rooms.iter().enumerate() {
+        for (at, room) in cycle.workers.iter().enumerate() {
             if !room.capacity.holds(&need) || !self.is_eligible(service, spec, room) {
                 continue;
             }
@@ -110,12 +110,12 @@
         if fresh.is_empty() || (enough && fresh.len() < ASKED_AGAIN_MIN) {
             return;
         }
-        let places: u64 = fresh.iter().map(|(.., at)| places_of(&cycle.rooms[*at])).sum();
+        let places: u64 = fresh.iter().map(|(.., at)| places_of(&cycle.workers[*at])).sum();
         let places_each = places / fresh.len() as u64;
-        let mut most = self.asked_max(&job.spec.queue, u64::from(spec.tasks), places_each);
+        let mut most = self.query_workers_max(&job.spec.queue, u64::from(spec.tasks), places_each);
         let free_all: u64 = fresh.iter().map(|(free, ..)| free.0).sum();
         // No question names more; the others need no order.
-        let named_max = self.limits.advice_workers_max * self.gang_questions_max();
+        let named_max = self.limits.advice_workers_max * self.gang_queries_max();
         if fresh.len() > named_max {
             fresh.select_nth_unstable(named_max);
             fresh.truncate(named_max);
@@ -136,9 +136,9 @@
         }
         let asked = fresh.into_iter().take(most);
         let names: Vec<WorkerId> =
-            asked.map(|(.., at)| self.name_of(&cycle.rooms[at]).clone()).collect();
-        if self.may_ask(rule, names.len()) {
-            self.ask(step, &names);
+            asked.map(|(.., at)| self.name_of(&cycle.workers[at]).clone()).collect();
+        if self.may_query(rule, names.len()) {
+            self.query_advisor(step, &names);
         }
     }
 }
--- a/crates/pool/src/reserve.rs
+++ b/crates/pool/src/reserve.rs
@@ -53,31 +53,31 @@
         // When each place comes free, and on which worker.
         let mut coming: Vec<(u64, usize)> = Vec::new();
         let allowed = self.allowed(step, unit, spec, cycle);
-        let empty = |one: &Allowed| places_in(&cycle.rooms[one.at].capacity, &need);
+        let empty = |one: &Allowed| places_in(&cycle.workers[one.index].capacity, &need);
         let places: u64 = allowed.iter().map(empty).sum();
         if wanted as u64 * 100 < places * RESERVING_PERCENT {
             return 0;
         }
         for one in allowed {
-            if !cycle.rooms[one.at].is_for(step, priority) {
+            if !cycle.workers[one.index].admits(step, priority) {
                 continue;
             }
-            let times_ms = self.places_ms(cycle.rooms[one.at].slot, &need);
-            coming.extend(times_ms.into_iter().map(|left_ms| (left_ms, one.at)));
+            let times_ms = self.places_ms(cycle.workers[one.index].slot, &need);
+            coming.extend(times_ms.into_iter().map(|left_ms| (left_ms, one.index)));
         }
         coming.sort_unstable();
         coming.truncate(wanted);
         let until_ms = now_ms + coming.last().map_or(0, |(left_ms, _)| *left_ms);
         let mut slots: Vec<Slot> = Vec::new();
         for (_, at) in coming {
-            if cycle.rooms[at].reserved_for.is_some_and(|reserved| reserved.step == step) {
+            if cycle.workers[at].reserved_for.is_some_and(|reserved| reserved.step == step) {
                 continue;
             }
             if slots.len() >= most {
                 break;
             }
-            cycle.rooms[at].reserved_for = Some(Reservation { priority, step, until_ms });
-            slots.push(cycle.rooms[at].slot);
+            cycle.workers[at].reserved_for = Some(Reservation { priority, step, until_ms });
+            slots.push(cycle.workers[at].slot);
         }
         let reserved = slots.len();
         if let Some(job) = self.jobs.get_mut(&step.job) {
@@ -101,9 +101,9 @@
         let mut reserved = 0;
         let until_ms = job.units[unit].reserved_until_ms;
         for slot in job.units[unit].reserved.iter().take(most) {
-            let Some(at) = cycle.at(*slot) else { continue };
-            if cycle.rooms[at].is_for(step, priority) {
-                cycle.rooms[at].reserved_for = Some(Reservation { priority, step, until_ms });
+            let Some(at) = cycle.index_of(*slot) else { continue };
+            if cycle.workers[at].admits(step, priority) {
+                cycle.workers[at].reserved_for = Some(Reservation { priority, step, until_ms });
                 reserved += 1;
             }
         }
@@ -121,8 +121,11 @@
     /// nothing else goes there; 0 for those that are free now.
     fn places_ms(&self, slot: Slot, need: &Resources) -> Vec<u64> {
         let Some(worker) = self.worker_at(slot) else { return Vec::new() };
-        let mut ends: Vec<(u64, &Resources)> =
-            worker.tasks.iter().map(|(id, taken)| (self.left_ms(*id), &taken.room)).collect();
+        let mut ends: Vec<(u64, &Resources)> = worker
+            .tasks
+            .iter()
+            .map(|(id, taken)| (self.left_ms(*id), &taken.worker_demand))
+            .collect();
         ends.sort_unstable_by_key(|(left_ms, _)| *left_ms);
         let mut free = worker.free();
         let mut times_ms = vec![0; places_in(&free, need) as usize];
--- a/crates/pool/src/runs.rs
+++ b/crates/pool/src/runs.rs
@@ -44,7 +44,7 @@
         let Some(name) = task.worker.clone() else { return };
         let Some(worker) = self.workers.get_mut(&name) else { return };
         let may_start = worker.held && !worker.info.draining;
-        let Some(until_ms) = worker.until(now_ms, lease_ms).filter(|_| may_start) else {
+        let Some(until_ms) = worker.lease_end(now_ms, lease_ms).filter(|_| may_start) else {
             // While its row was written the worker began a new life, or to leave.
             self.not_started(id);
             return;
@@ -57,7 +57,7 @@
             return;
         }
         let ticket = ticket.map(|ticket| ticket.text.clone());
-        worker.until_max = worker.until_max.max(until_ms);
+        worker.lease_end_max = worker.lease_end_max.max(until_ms);
         task.phase = Phase::Sent;
         task.moved_ms = now_ms;
         job.started = true;
@@ -91,10 +91,10 @@
                     worker.quarantine_until_ms =
                         worker.quarantine_until_ms.max(now_ms + REFUSED_PAUSE_MS);
                 }
-                Err(CallError::NoAnswer | CallError::NotSent) => worker.silent += 1,
+                Err(CallError::NoAnswer | CallError::NotSent) => worker.unanswered_calls += 1,
                 Err(CallError::Refused) => {
-                    worker.silent += 1;
-                    worker.refuses = true;
+                    worker.unanswered_calls += 1;
+                    worker.refuses_connections = true;
                 }
                 _ => {}
             }
@@ -117,7 +117,7 @@
             Ok(answer) => {
                 tracing::warn!(task = %id, run, worker = %from, %answer, "not started");
                 if answer == StartReply::BadTicket {
-                    self.drop_ticket(id, from);
+                    self.invalidate_ticket(id, from);
                 }
                 self.not_started(id);
             }
@@ -226,7 +226,7 @@
         let took_ms = (task.placed_ms > 0).then(|| now_ms.saturating_sub(task.placed_ms));
         tracing::info!(task = %id, run, worker = %from, %end, took_ms, "run ended");
         if let Some(took_ms) = took_ms.filter(|_| end == End::Done && run == 1) {
-            self.learned.ran(&job.spec.queue.name, took_ms);
+            self.learned.record_run(&job.spec.queue.name, took_ms);
         }
         job.begun = true;
         self.release(id);
@@ -357,7 +357,7 @@
         task.percent = 0;
         let Some(name) = task.worker.take() else { return };
         if let Some(worker) = self.workers.get_mut(&name) {
-            worker.give_back(id);
+            worker.deallocate(id);
         }
         self.place_due = true;
     }
@@ -408,6 +408,6 @@
     Some(Callee {
         worker: name.clone(),
         address: worker.info.address.clone(),
-        token: (epoch << LIFE_BITS) + worker.lives,
+        token: (epoch << LIFE_BITS) + worker.incarnations,
     })
 }
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -30,9 +30,9 @@
 
 /// What a task takes.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Taken {
+pub(crate) struct Allocation {
     /// Of its worker's room.
-    pub room: Resources,
+    pub worker_demand: Resources,
     /// Of its customer's cap.
     pub demand: Resources,
     pub customer: Option<CustomerId>,
@@ -45,7 +45,7 @@
     pub info: WorkerUpdate,
     pub listed: bool,
     /// Counts lives; part of the token, so that orders for an earlier life are refused.
-    pub lives: u64,
+    pub incarnations: u64,
     /// Whether a hold under the present token was answered.
     pub held: bool,
     /// The turn in which the hold under way was made.
@@ -59,17 +59,17 @@
     /// The worker's clock, and when the answer that told it came.
     pub clock: Option<(u64, u64)>,
     /// The latest moment on the worker's clock that was ever allowed.
-    pub until_max: u64,
+    pub lease_end_max: u64,
     /// When the lease of an earlier scheduler has lapsed for sure.
-    pub earlier_lapse_ms: u64,
+    pub earlier_lease_expiry_ms: u64,
     /// Ends up to this number were taken in.
     pub taken_in: u64,
     /// Numbers of ends that are taken in and not durable yet.
-    pub not_durable: BTreeSet<u64>,
+    pub non_durable_ends: BTreeSet<u64>,
     /// Tasks that have room here, with it.
-    pub tasks: BTreeMap<TaskId, Taken>,
+    pub tasks: BTreeMap<TaskId, Allocation>,
     /// Runs that are none of ours but take room.
-    pub strangers: Vec<Taken>,
+    pub strangers: Vec<Allocation>,
     pub used: Resources,
     /// What tasks of each customer take.
     pub by_customer: BTreeMap<CustomerId, Resources>,
@@ -81,7 +81,7 @@
     /// When it last showed that it does what it is told.
     pub answered_ms: u64,
     /// Calls without answer in a row.
-    pub silent: u32,
+    pub unanswered_calls: u32,
     /// The pace of tasks that fill here, in hundredths, and when it last changed.
     pub pace_percent: u32,
     pub pace_changed_ms: u64,
@@ -89,16 +89,16 @@
     pub lost: bool,
     /// Whether the newest connection to it was refused. That says nothing about
     /// what runs there: a firewall refuses as a host without the process does.
-    pub refuses: bool,
+    pub refuses_connections: bool,
 }
 
 impl Worker {
-    pub fn new(slot: Slot, update: WorkerUpdate, earlier_lapse_ms: u64) -> Self {
+    pub fn new(slot: Slot, update: WorkerUpdate, earlier_lease_expiry_ms: u64) -> Self {
         Self {
             slot,
             info: update,
             listed: true,
-            lives: 0,
+            incarnations: 0,
             held: false,
             hold_turn: None,
             hold_sent_ms: 0,
@@ -106,10 +106,10 @@
             probe_due: false,
             life_began_turn: 0,
             clock: None,
-            until_max: 0,
-            earlier_lapse_ms,
+            lease_end_max: 0,
+            earlier_lease_expiry_ms,
             taken_in: 0,
-            not_durable: BTreeSet::new(),
+            non_durable_ends: BTreeSet::new(),
             tasks: BTreeMap::new(),
             strangers: Vec::new(),
             used: Resources::ZERO,
@@ -119,29 +119,29 @@
             quarantine_until_ms: 0,
             speed_percent: 100,
             answered_ms: 0,
-            silent: 0,
+            unanswered_calls: 0,
             pace_percent: FULL_PACE,
             pace_changed_ms: 0,
             lost: false,
-            refuses: false,
+            refuses_connections: false,
         }
     }
 
     /// Forgets what belongs to an earlier life. Its tasks are the caller's to take away.
     /// Orders that were under way may still be carried out up to a moment.
-    pub fn begin_life(&mut self, life: u64, turn: u64, earlier_lapse_ms: u64) {
+    pub fn begin_life(&mut self, life: u64, turn: u64, earlier_lease_expiry_ms: u64) {
         self.life_began_turn = turn;
-        self.earlier_lapse_ms = earlier_lapse_ms;
+        self.earlier_lease_expiry_ms = earlier_lease_expiry_ms;
         self.info.life = life;
-        self.lives += 1;
+        self.incarnations += 1;
         self.lost = false;
         self.held = false;
         self.hold_turn = None;
         self.next_hold_ms = 0;
         self.clock = None;
-        self.until_max = 0;
+        self.lease_end_max = 0;
         self.taken_in = 0;
-        self.not_durable.clear();
+        self.non_durable_ends.clear();
         self.strangers.clear();
         self.failures = 0;
         self.quarantine_until_ms = 0;
@@ -162,7 +162,7 @@
     fn is_reachable(&self, now_ms: u64) -> bool {
         self.held
             && self.listed
-            && !self.refuses
+            && !self.refuses_connections
             && !self.info.draining
             && self.answered_ms + ANSWER_AGE_MAX_MS > now_ms
     }
@@ -178,9 +178,9 @@
     }
 
     /// Takes room for a task.
-    pub fn take(&mut self, task: TaskId, taken: Taken) {
+    pub fn allocate(&mut self, task: TaskId, taken: Allocation) {
         self.tasks.insert(task, taken);
-        self.used = self.used.plus(&taken.room);
+        self.used = self.used.plus(&taken.worker_demand);
         if let Some(customer) = taken.customer {
             let sum = self.by_customer.entry(customer).or_default();
             *sum = sum.plus(&taken.demand);
@@ -188,7 +188,7 @@
     }
 
     /// Gives a task's room back.
-    pub fn give_back(&mut self, task: TaskId) {
+    pub fn deallocate(&mut self, task: TaskId) {
         if self.tasks.remove(&task).is_some() {
             self.add_up();
         }
@@ -199,7 +199,7 @@
         let mut used = Resources::ZERO;
         let mut by_customer: BTreeMap<CustomerId, Resources> = BTreeMap::new();
         for taken in self.tasks.values().chain(&self.strangers) {
-            used = used.plus(&taken.room);
+            used = used.plus(&taken.worker_demand);
             if let Some(customer) = taken.customer {
                 let sum = by_customer.entry(customer).or_default();
                 *sum = sum.plus(&taken.demand);
@@ -211,22 +211,22 @@
 
     /// A moment on the worker's clock, this long from now. The clock may be
     /// slower than ours, so the lease may end up a little longer, never shorter.
-    pub fn until(&self, now_ms: u64, lease_ms: u64) -> Option<u64> {
+    pub fn lease_end(&self, now_ms: u64, lease_ms: u64) -> Option<u64> {
         let (clock, at_ms) = self.clock?;
         Some(clock + now_ms.saturating_sub(at_ms) + lease_ms)
     }
 
     /// Whether everything that was ever allowed here has been killed for sure.
     pub fn is_lapsed(&self, now_ms: u64) -> bool {
-        let Some((clock, at_ms)) = self.clock else { return now_ms > self.earlier_lapse_ms };
+        let Some((clock, at_ms)) = self.clock else { return now_ms > self.earlier_lease_expiry_ms };
         let passed_ms = now_ms.saturating_sub(at_ms);
         let at_least = passed_ms - passed_ms * SLOW_CLOCK_PERMILLE / 1_000;
-        clock + at_least > self.until_max + LAPSE_MARGIN_MS
+        clock + at_least > self.lease_end_max + LAPSE_MARGIN_MS
     }
 
     /// Ends up to this number may be forgotten by the worker.
     pub fn forget(&self) -> u64 {
-        self.not_durable.first().map_or(self.taken_in, |first| first - 1)
+        self.non_durable_ends.first().map_or(self.taken_in, |first| first - 1)
     }
 
     /// The rack, which is the last of the labels.
