--- a/crates/pool/src/advise.rs
+++ b/crates/pool/src/advise.rs
@@ -1,9 +1,10 @@
-//! Asking the advisor which workers may run a step.
+//! Queries to the advisor, which decides on which workers a step may run.
 //!
-//! What it grants does not change, only the ticket ages. So a step asks once
-//! about enough workers and keeps the set; just before a start it asks again
-//! for the few workers that were chosen and whose ticket is old. Their room is
-//! kept meanwhile.
+//! The set of granted workers does not change over time; only the tickets, which
+//! prove a grant to a worker, expire. A step therefore queries enough workers
+//! once and keeps the result. Just before a start it queries the few chosen
+//! workers again if a ticket of theirs is too old. The tasks keep their
+//! allocations on these workers until the answer arrives.
 
 use stoatwell_model::WorkerId;
 
@@ -18,40 +19,43 @@
 use crate::spec::AdviceSpec;
 use crate::spec::QueueSpec;
 
-/// Reservation of a ticket's time for the way of a start and its worker's answer.
+/// Part of a ticket's validity that is set aside for sending a start and for the
+/// worker's answer to it.
 const TICKET_MARGIN_MS: u64 = 200;
-/// The most that is kept of it with the writes in between, in hundredths.
+/// Upper bound of the part that is set aside including the store writes before the
+/// start, in percent of the validity.
 const TICKET_MARGIN_PERCENT: u64 = 85;
-/// What a question may cost beyond the advisor's own time for it.
-const EACH_BUDGET_MS: f64 = 200.0;
-/// Questions under way for each daemon above which they are kept short: some more
-/// than one that is asked and one that is next.
-const QUESTIONS_EACH_MAX: usize = 4;
-/// A question that takes at least this is a long one.
+/// Time that the per-worker cost of a query may add to its fixed cost.
+const PER_WORKER_BUDGET_MS: f64 = 200.0;
+/// Pending queries per daemon above which queries are kept short. It exceeds the two
+/// that a daemon needs: one in progress and the next one.
+const PENDING_QUERIES_PER_DAEMON_MAX: usize = 4;
+/// Expected duration from which on a query counts as long.
 pub const LONG_QUERY_MS: u64 = 200;
-/// Daemons kept for short questions, which urgent work waits for: one in this many ...
-const SHORT_ONLY_SHARE: usize = 5;
-/// ... and at least this many, as far as that is no more than half of them.
+/// One daemon in this many is reserved for short queries, which urgent work waits for.
+const SHORT_ONLY_DIVISOR: usize = 5;
+/// Minimum number of daemons reserved for short queries, but never more than half of
+/// the daemons.
 const SHORT_ONLY_MIN: usize = 8;
-/// Questions about one gang at one time, if no more long ones can be asked through idle
-/// daemons. One after the other they would take most of a second each, while the room
-/// goes to others.
-const GANG_QUESTIONS_MIN: usize = 2;
-/// A gang takes one part in this many of the long questions that can still be asked.
-const IDLE_SHARE: usize = 4;
-/// A step has enough workers to choose from when they hold this many times its
-/// tasks while empty.
+/// Lower bound of the limit on concurrent queries of one gang, also when no further
+/// long query is free. One after another they would take most of a second each, and
+/// other work would take the capacity meanwhile.
+const GANG_QUERIES_MIN: usize = 2;
+/// A gang may use one in this many of the long queries that are still free.
+const GANG_QUERIES_DIVISOR: usize = 4;
+/// A step has enough granted workers when their total capacity fits this many times
+/// its tasks.
 pub(crate) const SUFFICIENT_PLACES_FACTOR: u64 = 3;
-/// Fewest workers asked about at once, however long each takes.
-const ASKED_MIN: usize = 8;
-/// After a question without answer the next one waits this long.
-const ADVICE_PAUSE_MS: u64 = 150;
+/// Minimum number of workers in a query, whatever the cost per worker.
+const QUERY_WORKERS_MIN: usize = 8;
+/// Delay before the next query after one that failed.
+const RETRY_DELAY_MS: u64 = 150;
 
 impl Pool {
-    /// How many workers one question about a step names: as many as cost little
-    /// beside the decision, or as the step needs to have a choice. While questions
-    /// queue up it is what the step needs: with few daemons left, long questions
-    /// would let few jobs through.
+    /// How many workers one query of a step may name: as many as fit the time budget,
+    /// or as many as the step needs to have a choice, whichever is more. While queries
+    /// queue up, only the latter counts: with few daemons left, long queries would let
+    /// few jobs through.
     pub(crate) fn query_workers_max(
         &self,
         queue: &QueueSpec,
@@ -59,45 +63,45 @@
         places_each: u64,
     ) -> usize {
         let each_ms = queue.advice.map_or(0.0, |rule| rule.each_ms);
-        let crowded = self.questions > self.advisors * QUESTIONS_EACH_MAX;
+        let overloaded = self.questions > self.advisors * PENDING_QUERIES_PER_DAEMON_MAX;
         let affordable = match each_ms {
-            _ if crowded => 0,
-            each_ms if each_ms > 0.0 => (EACH_BUDGET_MS / each_ms) as usize,
+            _ if overloaded => 0,
+            each_ms if each_ms > 0.0 => (PER_WORKER_BUDGET_MS / each_ms) as usize,
             _ => usize::MAX,
         };
         let places_each = places_each.max(1) as f64 * self.learned.granted_share(&queue.name);
         let needed = ((tasks * SUFFICIENT_PLACES_FACTOR) as f64 / places_each).ceil() as usize;
-        affordable.max(needed).clamp(ASKED_MIN, self.limits.advice_workers_max)
+        affordable.max(needed).clamp(QUERY_WORKERS_MIN, self.limits.advice_workers_max)
     }
 
-    /// Whether a question about this many workers may be asked now.
+    /// Whether a query about this many workers may be sent now.
     pub(crate) fn may_query(&self, rule: AdviceSpec, workers: usize) -> bool {
-        cost_ms(rule, workers) < LONG_QUERY_MS || self.long_questions_left() > 0
+        query_cost_ms(rule, workers) < LONG_QUERY_MS || self.free_long_queries() > 0
     }
 
-    /// How many questions about one gang may be asked at one time.
+    /// How many queries of one gang may be pending at the same time.
     pub(crate) fn gang_queries_max(&self) -> usize {
-        (self.long_questions_left() / IDLE_SHARE).max(GANG_QUESTIONS_MIN)
+        (self.free_long_queries() / GANG_QUERIES_DIVISOR).max(GANG_QUERIES_MIN)
     }
 
-    /// How many more long questions may be under way.
-    fn long_questions_left(&self) -> usize {
+    /// How many more long queries may be sent now.
+    fn free_long_queries(&self) -> usize {
         long_queries_max(self.advisors).saturating_sub(self.long_questions)
     }
 
-    /// Asks the advisor about these workers, in as many questions as it takes.
+    /// Queries the advisor about these workers, split into as many queries as needed.
     pub(crate) fn query_advisor(&mut self, step: StepId, workers: &[WorkerId]) {
         let Some(job) = self.jobs.get_mut(&step.job) else { return };
         let Some(unit) = job.unit_of(step) else { return };
         let Some(rule) = job.spec.queue.advice else { return };
         let priority = job.spec.queue.priority;
-        let questions = workers.len().div_ceil(self.limits.advice_workers_max).max(1);
-        for some in workers.chunks(workers.len().div_ceil(questions).max(1)) {
-            let cost_ms = cost_ms(rule, some.len());
+        let queries = workers.len().div_ceil(self.limits.advice_workers_max).max(1);
+        for chunk in workers.chunks(workers.len().div_ceil(queries).max(1)) {
+            let cost_ms = query_cost_ms(rule, chunk.len());
             job.units[unit].advice.questions += 1;
             self.questions += 1;
             self.long_questions += usize::from(cost_ms >= LONG_QUERY_MS);
-            let workers = some.to_vec();
+            let workers = chunk.to_vec();
             self.effects.push(Effect::Advise { step, workers, priority, cost_ms });
         }
     }
@@ -123,12 +127,12 @@
         advice.questions = advice.questions.saturating_sub(1);
         advice.retry_at_ms = 0;
         if let Some(granted) = &granted {
-            self.learned.advised(&job.spec.queue.name, asked.len(), granted.len());
+            self.learned.record_grants(&job.spec.queue.name, asked.len(), granted.len());
         }
         match granted {
-            None => advice.pause_until_ms = now_ms + ADVICE_PAUSE_MS,
+            None => advice.pause_until_ms = now_ms + RETRY_DELAY_MS,
             Some(granted) => {
-                tracing::debug!(%step, asked = asked.len(), granted = granted.len(), "advice came");
+                tracing::debug!(%step, asked = asked.len(), granted = granted.len(), "advisor answered");
                 let slot = |name: &WorkerId| self.workers.get(name).map(|worker| worker.slot);
                 advice.asked.extend(asked.iter().filter_map(slot));
                 for grant in granted {
@@ -140,12 +144,15 @@
                 }
             }
         }
-        self.start_reserved(step);
+        self.start_reserved_tasks(step);
         self.place_due = true;
     }
 
-    /// Starts the tasks that waited for tickets, or frees their room.
-    fn start_reserved(&mut self, step: StepId) {
+    /// Starts the tasks that waited for tickets.
+    ///
+    /// Those without a fresh ticket, or whose worker takes no new tasks now, go back to
+    /// the queue. A gang starts all of these tasks or none.
+    fn start_reserved_tasks(&mut self, step: StepId) {
         let Some(job) = self.jobs.get(&step.job) else { return };
         let Some(unit) = job.unit_of(step) else { return };
         let gang = job.step(unit).gang;
@@ -172,29 +179,31 @@
         self.record_starts(step, &ready);
     }
 
-    /// Whether a start on this worker could show a ticket that is good.
+    /// Whether the step has a ticket for this worker that is still valid when a start
+    /// recorded now would arrive.
     pub(crate) fn has_fresh_ticket(&self, step: StepId, name: &WorkerId) -> bool {
         let Some(job) = self.jobs.get(&step.job) else { return false };
         let Some(unit) = job.unit_of(step) else { return false };
         let Some(worker) = self.workers.get(name) else { return false };
         let Some(ticket) = job.units[unit].advice.granted.get(&worker.slot) else { return false };
-        ticket.is_fresh(worker.info.life, self.sent_ms(step.job, job.spec.queue.advice))
+        ticket.is_fresh(worker.info.life, self.start_arrival_ms(step.job, job.spec.queue.advice))
     }
 
-    /// About when a start that is recorded now will be sent and arrive.
+    /// Estimates when a start that is recorded now arrives at its worker.
     ///
-    /// It waits for the batch under way and for its own. With a store that takes
-    /// half a second for each, tickets that are good now are not any more then, and
-    /// the refused starts would keep the store busy for as long as it is slow.
-    pub(crate) fn sent_ms(&self, job: JobId, advice: Option<AdviceSpec>) -> u64 {
+    /// The start waits for the batch that is being written and for its own batch. When
+    /// the store takes half a second for each, tickets that are valid now have expired
+    /// by then, and the refused starts would keep the store busy for as long as it is
+    /// slow.
+    pub(crate) fn start_arrival_ms(&self, job: JobId, advice: Option<AdviceSpec>) -> u64 {
         let valid_ms = advice.map_or(0, |rule| rule.valid_ms);
         let writes_ms = self.commits.usual_ms(job, self.now_ms) * 2;
-        // Never so long that a ticket could not be fresh at all.
+        // Limited so that a new ticket still counts as fresh.
         let margin_ms = (TICKET_MARGIN_MS + writes_ms).min(valid_ms * TICKET_MARGIN_PERCENT / 100);
         self.now_ms + margin_ms
     }
 
-    /// A worker refused a ticket; the next start asks for a new one.
+    /// Expires a ticket that a worker refused, so that the next start queries a new one.
     pub(crate) fn invalidate_ticket(&mut self, id: TaskId, name: &WorkerId) {
         let Some(worker) = self.workers.get(name) else { return };
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
@@ -205,13 +214,13 @@
     }
 }
 
-/// How many long questions may be under way through this many daemons. More would wait
-/// for each other until the tickets that came first are old again.
+/// How many long queries may be pending with this many daemons. With more, queries
+/// would wait for each other until the first tickets have expired again.
 pub fn long_queries_max(daemons: usize) -> usize {
-    daemons - (daemons / SHORT_ONLY_SHARE).max(SHORT_ONLY_MIN.min(daemons / 2))
+    daemons - (daemons / SHORT_ONLY_DIVISOR).max(SHORT_ONLY_MIN.min(daemons / 2))
 }
 
-/// What the advisor takes for a question.
-fn cost_ms(rule: AdviceSpec, workers: usize) -> u64 {
+/// Expected duration of a query at the advisor.
+fn query_cost_ms(rule: AdviceSpec, workers: usize) -> u64 {
     (rule.decide_ms + rule.each_ms * workers as f64) as u64 + 1
 }
--- a/crates/pool/src/choose.rs
+++ b/crates/pool/src/choose.rs
@@ -1,4 +1,4 @@
-//! Which of the open workers a unit's tasks go to.
+//! Selection of workers for the tasks of a unit.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -13,199 +13,215 @@
 use crate::worker::Slot;
 use crate::worker::Worker;
 
-/// Room that other work leaves free for urgent work, in hundredths of what
-/// urgent work takes at the time: enough for twice the usual arrivals to find
-/// room at once while what runs ends.
+/// Capacity that other work leaves free for urgent work, in percent of what urgent work
+/// currently uses: enough to place twice the usual arrivals at once while running tasks
+/// end.
 const HEADROOM_PERCENT: u64 = 80;
 
-/// The same for ranks between the first and its own, for work that could wait for
-/// as long again as it takes: gangs need much room at one moment, which work that
-/// is patient would otherwise nibble away.
-const PATIENT_HEADROOM_PERCENT: u64 = 20;
+/// Capacity that work with much slack leaves free for the priorities between urgent and
+/// its own, in percent of what they currently use. Work has much slack if it could wait
+/// for its own expected duration and still be in time. Gangs need much capacity at one
+/// moment, which such work would otherwise take bit by bit.
+const SLACK_HEADROOM_PERCENT: u64 = 20;
 
-/// The workers during one cycle.
+/// The state of one scheduling cycle: the workers that may get tasks, with the capacity
+/// that the cycle has not allocated yet.
 #[derive(Debug, Default)]
 pub(crate) struct Cycle {
     pub workers: Vec<WorkerView>,
-    /// Places in `workers` by the workers' slots.
-    places: Vec<Option<u32>>,
+    /// Indices into `workers` by the workers' slots; `None` for workers that take no tasks.
+    indices: Vec<Option<u32>>,
     services: Vec<Service>,
-    /// What each customer has, by its number.
+    /// What each customer uses, by [`CustomerId`](crate::customers::CustomerId).
     pub customers: Vec<Resources>,
 }
 
-/// A service during one cycle.
+/// A service during one scheduling cycle.
 #[derive(Debug)]
 struct Service {
     name: String,
-    /// Free room of its open workers together.
+    /// Free capacity of its workers in this cycle together.
     free: Resources,
 }
 
-/// A worker during one cycle.
+/// A worker during one scheduling cycle.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkerView {
     pub slot: Slot,
-    /// Its service, as [`Cycle::service`] numbers it.
+    /// The index of its service, see [`Cycle::service_index`].
     pub service: usize,
-    pub life: u64,
-    /// Whether it failed or held up a run and did none well since.
+    pub incarnation: u64,
+    /// See [`Worker::is_suspect`].
     suspect: bool,
     pub free: Resources,
     pub capacity: Resources,
-    /// The waiting gang that it is kept for. Only more urgent work may go here
-    /// meanwhile, and what is over before the gang could start: gangs of the same rank
-    /// that need less room would otherwise overtake a large one again and again.
+    /// The waiting gang that the worker is reserved for. Meanwhile only work of higher
+    /// priority may go here, and work that ends before the gang could start. Smaller
+    /// gangs of the same priority would otherwise overtake a large one again and again.
     pub reserved_for: Option<Reservation>,
 }
 
-/// A waiting gang that a worker is kept for.
+/// A reservation of a worker for a waiting gang.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Reservation {
     pub priority: u32,
     pub step: StepId,
-    /// When the last of its places comes free; until then the room would be idle.
+    /// When capacity for the last of its tasks is expected to come free; until then the
+    /// reserved capacity would be idle.
     pub until_ms: u64,
 }
 
-/// What a unit asks of the workers.
+/// A request to place tasks of a unit.
 #[derive(Debug)]
-pub(crate) struct Ask<'a> {
+pub(crate) struct PlacementRequest<'a> {
     pub step: StepId,
     pub service: usize,
     pub spec: &'a StepSpec,
     pub priority: u32,
-    /// When its tasks will be over if they start now.
-    pub over_ms: u64,
-    /// What it has to leave free for urgent work.
+    /// When its tasks are expected to end if they start now.
+    pub expected_end_ms: u64,
+    /// Capacity of the service that it has to leave free for work of higher priority.
     pub headroom: Resources,
 }
 
-/// A worker that may run a unit's tasks, with room or without.
+/// A worker that may run a unit's tasks, whether or not it has free capacity.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Allowed {
+pub(crate) struct EligibleWorker {
+    /// The index in [`Cycle::workers`].
     pub index: usize,
-    /// Whether a start could show a ticket that is good, or needs none.
+    /// Whether a start needs no ticket or would arrive with a valid one.
     pub ticket_fresh: bool,
 }
 
-/// A worker with room for a unit's tasks.
+/// An eligible worker with free capacity for a task of the unit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
+    /// The index in [`Cycle::workers`].
     index: usize,
-    /// Added to how much it leaves free; lower goes first.
-    bias: f64,
-    /// Tasks of the unit that it has already.
-    mine: u32,
+    /// Penalty that is added to the share of capacity left free; see [`Cycle::score`].
+    penalty: f64,
+    /// Tasks of the unit on this worker. Only counted if the step limits them.
+    unit_tasks: u32,
 }
 
 impl WorkerView {
-    /// Whether work of this unit may go here.
+    /// Whether the worker's reservation lets this unit use it.
     pub fn admits(&self, step: StepId, priority: u32) -> bool {
         self.reserved_for
             .is_none_or(|reserved| reserved.step == step || priority < reserved.priority)
     }
 
-    /// Whether a task of this unit may go here now.
-    fn takes(&self, ask: &Ask<'_>) -> bool {
-        self.admits(ask.step, ask.priority)
-            || self.reserved_for.is_some_and(|reserved| ask.over_ms <= reserved.until_ms)
+    /// Whether a task of this unit may start here now: as [`Self::admits`], or because it
+    /// is expected to end before the gang with the reservation could start.
+    fn accepts(&self, request: &PlacementRequest<'_>) -> bool {
+        self.admits(request.step, request.priority)
+            || self
+                .reserved_for
+                .is_some_and(|reserved| request.expected_end_ms <= reserved.until_ms)
     }
 }
 
 impl Cycle {
-    /// The number of a service, if any open worker is of it.
-    pub fn service(&self, name: &str) -> Option<usize> {
+    /// The index of a service; `None` if none of its workers takes tasks in this cycle.
+    pub fn service_index(&self, name: &str) -> Option<usize> {
         self.services.iter().position(|service| service.name == name)
     }
 
-    /// The place of a worker in `workers`, if it is open.
+    /// The index of a worker in `workers`; `None` if it takes no tasks in this cycle.
     pub fn index_of(&self, slot: Slot) -> Option<usize> {
-        self.places.get(slot.0).copied().flatten().map(|at| at as usize)
+        self.indices.get(slot.0).copied().flatten().map(|index| index as usize)
     }
 
-    fn take(&mut self, at: usize, room: &Resources) {
-        self.workers[at].free = self.workers[at].free.minus(room);
-        let sum = &mut self.services[self.workers[at].service].free;
-        *sum = sum.minus(room);
+    fn allocate(&mut self, index: usize, demand: &Resources) {
+        self.workers[index].free = self.workers[index].free.minus(demand);
+        let sum = &mut self.services[self.workers[index].service].free;
+        *sum = sum.minus(demand);
     }
 
-    pub fn give_back(&mut self, at: usize, room: &Resources) {
-        self.workers[at].free = self.workers[at].free.plus(room);
-        let sum = &mut self.services[self.workers[at].service].free;
-        *sum = sum.plus(room);
+    pub fn deallocate(&mut self, index: usize, demand: &Resources) {
+        self.workers[index].free = self.workers[index].free.plus(demand);
+        let sum = &mut self.services[self.workers[index].service].free;
+        *sum = sum.plus(demand);
     }
 
-    /// Picks a worker for as many of the tasks as can be, and takes the room in
-    /// this cycle's view. The tightest fit goes first, which leaves whole
-    /// workers free for large tasks.
+    /// Picks workers for as many of the waiting tasks as possible and allocates the
+    /// capacity within this cycle. Returns pairs of a task index and a worker index.
+    ///
+    /// This is best fit: the worker that has the least left goes first, so that whole
+    /// workers stay free for large tasks.
     pub fn choose(
         &mut self,
-        ask: &Ask<'_>,
+        request: &PlacementRequest<'_>,
         waiting: &[u32],
         mut candidates: Vec<Candidate>,
     ) -> Vec<(u32, usize)> {
-        let room = ask.spec.worker_demand();
-        let most = ask.spec.per_worker_max;
-        candidates.retain(|one| self.workers[one.index].takes(ask));
-        // A worker that is the tightest fit stays so until it is full.
-        candidates.sort_by(|a, b| self.left_with(a, &room).total_cmp(&self.left_with(b, &room)));
+        let demand = request.spec.worker_demand();
+        let per_worker_max = request.spec.per_worker_max;
+        candidates.retain(|candidate| self.workers[candidate.index].accepts(request));
+        // Sorted once: the best fit remains the best fit until it is full.
+        candidates.sort_by(|a, b| self.score(a, &demand).total_cmp(&self.score(b, &demand)));
         let mut chosen = Vec::new();
         let mut waiting = waiting.iter();
-        for mut one in candidates {
-            while self.workers[one.index].free.holds(&room) && (most == 0 || one.mine < most) {
-                if !self.leaves_headroom(ask, &room) {
+        for mut candidate in candidates {
+            while self.workers[candidate.index].free.holds(&demand)
+                && (per_worker_max == 0 || candidate.unit_tasks < per_worker_max)
+            {
+                if !self.leaves_headroom(request, &demand) {
                     return chosen;
                 }
-                let Some(index) = waiting.next() else { return chosen };
-                one.mine += 1;
-                self.take(one.index, &room);
-                chosen.push((*index, one.index));
+                let Some(task_index) = waiting.next() else { return chosen };
+                candidate.unit_tasks += 1;
+                self.allocate(candidate.index, &demand);
+                chosen.push((*task_index, candidate.index));
             }
         }
         chosen
     }
 
-    /// How much a candidate would have left, with what speaks against it.
-    fn left_with(&self, one: &Candidate, room: &Resources) -> f64 {
-        let view = &self.workers[one.index];
-        view.free.minus(room).dominant_share(&view.capacity) + one.bias
+    /// The share of its capacity that a candidate would have left, plus its penalty;
+    /// lower is better.
+    fn score(&self, candidate: &Candidate, demand: &Resources) -> f64 {
+        let view = &self.workers[candidate.index];
+        view.free.minus(demand).dominant_share(&view.capacity) + candidate.penalty
     }
 
-    fn leaves_headroom(&self, ask: &Ask<'_>, room: &Resources) -> bool {
-        if ask.headroom.is_zero() {
+    fn leaves_headroom(&self, request: &PlacementRequest<'_>, demand: &Resources) -> bool {
+        if request.headroom.is_zero() {
             return true;
         }
-        self.services[ask.service].free.holds(&room.plus(&ask.headroom))
+        self.services[request.service].free.holds(&demand.plus(&request.headroom))
     }
 }
 
 impl Pool {
-    /// The open workers as they are now.
+    /// Starts a scheduling cycle with the workers that take tasks now.
+    ///
+    /// These are the open workers, and those in quarantine only for failed runs in
+    /// services where [`Pool::services_with_worker_faults`] does not blame the workers.
     pub(crate) fn begin_cycle(&self) -> Cycle {
         let mut cycle = Cycle { customers: self.customer_usage(), ..Cycle::default() };
         cycle.workers.reserve(self.workers.len());
-        cycle.places.resize(self.names.len(), None);
-        let blamed = self.blamed_services();
+        cycle.indices.resize(self.names.len(), None);
+        let worker_faults = self.services_with_worker_faults();
         for worker in self.workers.values() {
-            let acquitted = worker.is_only_suspect(self.now_ms)
-                && !blamed.contains(&worker.info.service.as_str());
-            if !worker.is_open(self.now_ms) && !acquitted {
+            let quarantine_waived = worker.is_only_suspect(self.now_ms)
+                && !worker_faults.contains(&worker.info.service.as_str());
+            if !worker.is_open(self.now_ms) && !quarantine_waived {
                 continue;
             }
             let free = worker.free();
-            let service = cycle.service(&worker.info.service).unwrap_or_else(|| {
+            let service = cycle.service_index(&worker.info.service).unwrap_or_else(|| {
                 let name = worker.info.service.clone();
                 cycle.services.push(Service { name, free: Resources::ZERO });
                 cycle.services.len() - 1
             });
             let sum = &mut cycle.services[service].free;
             *sum = sum.plus(&free);
-            cycle.places[worker.slot.0] = Some(cycle.workers.len() as u32);
+            cycle.indices[worker.slot.0] = Some(cycle.workers.len() as u32);
             cycle.workers.push(WorkerView {
                 slot: worker.slot,
                 service,
-                life: worker.info.life,
+                incarnation: worker.info.life,
                 suspect: worker.is_suspect(),
                 free,
                 capacity: worker.info.capacity,
@@ -215,122 +231,131 @@
         cycle
     }
 
-    /// The worker of a slot, if it is still known.
+    /// The worker with this slot; `None` if it has been removed.
     pub(crate) fn worker_at(&self, slot: Slot) -> Option<&Worker> {
         self.workers.get(self.names.get(slot.0)?)
     }
 
-    /// Services whose failed runs are their workers' fault, for all one knows.
+    /// Services whose failed runs are presumably caused by their workers.
     ///
-    /// Runs that fail on most workers of a service are the tasks' own fault. With all
-    /// of them left alone for it, nothing of the service would run at all.
-    fn blamed_services(&self) -> Vec<&str> {
-        // Service, open workers, suspect ones; there are few services.
+    /// If runs fail on most workers of a service, the tasks themselves are presumably at
+    /// fault. With all of these workers in quarantine, nothing of the service would run.
+    fn services_with_worker_faults(&self) -> Vec<&str> {
+        // Service, open workers, workers in quarantine for failed runs. A list is enough
+        // since there are few services.
         let mut counts: Vec<(&str, usize, usize)> = Vec::new();
         for worker in self.workers.values() {
             let service = worker.info.service.as_str();
             let known = counts.iter().position(|(name, ..)| *name == service);
-            let at = known.unwrap_or_else(|| {
+            let index = known.unwrap_or_else(|| {
                 counts.push((service, 0, 0));
                 counts.len() - 1
             });
-            let (_, open, suspect) = &mut counts[at];
+            let (_, open, suspect) = &mut counts[index];
             *open += usize::from(worker.is_open(self.now_ms));
             *suspect += usize::from(worker.is_only_suspect(self.now_ms));
         }
-        let few = |(_, open, suspect): &(&str, usize, usize)| suspect <= open;
-        counts.into_iter().filter(few).map(|(service, ..)| service).collect()
+        let few_suspects = |(_, open, suspect): &(&str, usize, usize)| suspect <= open;
+        counts.into_iter().filter(few_suspects).map(|(service, ..)| service).collect()
     }
 
-    /// The workers that a unit may use, with what speaks for and against each:
-    /// near the data, no failures of late, a ticket at hand.
+    /// The eligible workers with free capacity for a task, each with a penalty for being
+    /// outside the rack of the data, for recent failures and for lacking a fresh ticket.
     pub(crate) fn candidates(
         &self,
         step: StepId,
         unit: usize,
         spec: &StepSpec,
-        allowed: &[Allowed],
+        eligible: &[EligibleWorker],
         cycle: &Cycle,
     ) -> Vec<Candidate> {
-        let room = spec.worker_demand();
-        let mine = self.placed_counts(step, unit, spec);
-        let mut candidates = Vec::with_capacity(allowed.len());
-        for one in allowed {
-            let view = &cycle.workers[one.index];
-            if !view.free.holds(&room) {
+        let demand = spec.worker_demand();
+        let unit_tasks = self.unit_tasks_by_worker(step, unit, spec);
+        let mut candidates = Vec::with_capacity(eligible.len());
+        for worker in eligible {
+            let view = &cycle.workers[worker.index];
+            if !view.free.holds(&demand) {
                 continue;
             }
-            let far = spec.near_rack.is_some()
+            let outside_rack = spec.near_rack.is_some()
                 && spec.near_rack.as_deref() != self.worker_at(view.slot).and_then(Worker::rack);
-            let last = far || view.suspect;
-            let bias = f64::from(u8::from(last)) * 4.0 + f64::from(u8::from(!one.ticket_fresh));
-            let mine = mine.get(&view.slot).copied().unwrap_or(0);
-            candidates.push(Candidate { index: one.index, bias, mine });
+            let avoid = outside_rack || view.suspect;
+            let penalty =
+                f64::from(u8::from(avoid)) * 4.0 + f64::from(u8::from(!worker.ticket_fresh));
+            let unit_tasks = unit_tasks.get(&view.slot).copied().unwrap_or(0);
+            candidates.push(Candidate { index: worker.index, penalty, unit_tasks });
         }
         candidates
     }
 
-    /// Picks workers of one rack for tasks that take longer on several, if one rack
-    /// has room for all that wait; else any workers.
+    /// Like [`Cycle::choose`], but prefers workers of one rack, for tasks that take longer
+    /// when they are spread over several. If no rack fits all waiting tasks, any workers
+    /// are used.
     pub(crate) fn choose_in_one_rack(
         &self,
-        ask: &Ask<'_>,
+        request: &PlacementRequest<'_>,
         unit: usize,
         waiting: &[u32],
         candidates: Vec<Candidate>,
         cycle: &mut Cycle,
     ) -> Vec<(u32, usize)> {
-        let need = ask.spec.worker_demand();
-        let used = self.rack_in_use(ask.step, unit);
+        let demand = request.spec.worker_demand();
+        let current_rack = self.rack_in_use(request.step, unit);
         let mut racks: BTreeMap<&str, (u64, Vec<Candidate>)> = BTreeMap::new();
-        for one in &candidates {
-            let room = &cycle.workers[one.index];
-            let Some(rack) = self.worker_at(room.slot).and_then(Worker::rack) else {
+        for candidate in &candidates {
+            let view = &cycle.workers[candidate.index];
+            let Some(rack) = self.worker_at(view.slot).and_then(Worker::rack) else {
                 continue;
             };
-            let (sum, members) = racks.entry(rack).or_default();
-            *sum += places_in(&room.free, &need);
-            members.push(*one);
+            let (places, members) = racks.entry(rack).or_default();
+            *places += places_in(&view.free, &demand);
+            members.push(*candidate);
         }
         let mut order: Vec<(&str, (u64, Vec<Candidate>))> = racks.into_iter().collect();
         order.retain(|(_, (places, _))| *places >= waiting.len() as u64);
-        // Where the step is already, then where it leaves the most room whole.
-        order.sort_by_key(|(rack, (places, _))| (Some(*rack) != used, *places));
+        // The rack that the unit already uses first, then those with the least free
+        // capacity, so that large parts of the others stay whole.
+        order.sort_by_key(|(rack, (places, _))| (Some(*rack) != current_rack, *places));
         for (_, (_, members)) in order {
-            let chosen = cycle.choose(ask, waiting, members);
+            let chosen = cycle.choose(request, waiting, members);
             if chosen.len() == waiting.len() {
                 return chosen;
             }
-            for (_, at) in chosen {
-                cycle.give_back(at, &need);
+            for (_, index) in chosen {
+                cycle.deallocate(index, &demand);
             }
         }
-        cycle.choose(ask, waiting, candidates)
+        cycle.choose(request, waiting, candidates)
     }
 
-    /// The rack on which a unit has a task.
+    /// The rack of the first task of the unit that is on a worker.
     fn rack_in_use(&self, step: StepId, unit: usize) -> Option<&str> {
         let tasks = &self.jobs.get(&step.job)?.units[unit].tasks;
         let name = tasks.iter().find_map(|task| task.worker.as_ref())?;
         self.workers.get(name)?.rack()
     }
 
-    /// What a unit has to leave free for more urgent work.
+    /// Capacity of the service that a unit has to leave free for work of higher priority.
     pub(crate) fn headroom(&self, step: StepId, key: QueueKey) -> Resources {
         let Some(job) = self.jobs.get(&step.job).filter(|_| key.priority > 0) else {
             return Resources::ZERO;
         };
         let service = &job.spec.queue.service;
-        let urgent = self.learned.usual_use(service, 0..1).share(HEADROOM_PERCENT, 100);
-        if self.spare_ms(key, step) < self.needs_ms(step) as i64 {
+        let urgent = self.learned.mean_usage(service, 0..1).share(HEADROOM_PERCENT, 100);
+        if self.slack_ms(key, step) < self.expected_task_ms(step) as i64 {
             return urgent;
         }
-        let between = self.learned.usual_use(service, 1..key.priority);
-        urgent.plus(&between.share(PATIENT_HEADROOM_PERCENT, 100))
+        let between = self.learned.mean_usage(service, 1..key.priority);
+        urgent.plus(&between.share(SLACK_HEADROOM_PERCENT, 100))
     }
 
-    /// How many tasks of the unit each worker has already, where that is limited.
-    fn placed_counts(&self, step: StepId, unit: usize, spec: &StepSpec) -> HashMap<Slot, u32> {
+    /// How many tasks of the unit each worker has; empty if the step sets no limit.
+    fn unit_tasks_by_worker(
+        &self,
+        step: StepId,
+        unit: usize,
+        spec: &StepSpec,
+    ) -> HashMap<Slot, u32> {
         let mut counts = HashMap::new();
         let Some(job) = self.jobs.get(&step.job) else { return counts };
         if spec.per_worker_max == 0 {
@@ -346,8 +371,8 @@
     }
 }
 
-/// How many tasks of this need have room; never more than a job may have, since a
-/// task that needs nothing has room without end.
-pub(crate) fn places_in(free: &Resources, need: &Resources) -> u64 {
-    free.times_held(need).min(TASKS_MAX)
+/// How many tasks of this demand fit into the free capacity. Limited to the tasks that a
+/// job may have, since tasks without any demand would fit any number of times.
+pub(crate) fn places_in(free: &Resources, demand: &Resources) -> u64 {
+    free.times_held(demand).min(TASKS_MAX)
 }
--- a/crates/pool/src/customers.rs
+++ b/crates/pool/src/customers.rs
@@ -120,7 +120,7 @@
 
 impl Pool {
     /// How many more tasks of this demand a customer may have beside what it has.
-    pub(crate) fn cap_places(
+    pub(crate) fn tasks_under_cap(
         &self,
         customer: Option<CustomerId>,
         used: &[Resources],
@@ -137,7 +137,7 @@
     }
 
     /// Takes note of whether a gang waits for its customer's cap.
-    pub(crate) fn note_cap(&mut self, step: StepId, unit: usize, awaits_cap: bool) {
+    pub(crate) fn set_awaits_cap(&mut self, step: StepId, unit: usize, awaits_cap: bool) {
         if let Some(job) = self.jobs.get_mut(&step.job) {
             job.units[unit].awaits_cap = awaits_cap;
         }
--- a/crates/pool/src/estimates.rs
+++ b/crates/pool/src/estimates.rs
@@ -52,7 +52,7 @@
     }
 
     /// Takes note of an answer of the advisor.
-    pub fn advised(&mut self, queue: &str, asked: usize, granted: usize) {
+    pub fn record_grants(&mut self, queue: &str, asked: usize, granted: usize) {
         if asked == 0 {
             return;
         }
@@ -95,7 +95,7 @@
     }
 
     /// The room that work of these ranks usually takes at a service.
-    pub fn usual_use(&self, service: &str, ranks: Range<u32>) -> Resources {
+    pub fn mean_usage(&self, service: &str, ranks: Range<u32>) -> Resources {
         let Some(known) = self.used.get(service).filter(|_| !ranks.is_empty()) else {
             return Resources::ZERO;
         };
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -1,21 +1,21 @@
-//! Where waiting tasks go.
+//! Placement of waiting tasks on workers.
 //!
-//! Units are looked at by priority, then by the time after which their job is
-//! late; those that are late already come last, since time spent on them first
-//! would only make others late too. A gang goes whole or not at all. While one
-//! waits, some of the workers that may run it are kept from work of lower
-//! priority, or many small tasks would take each bit of room as it comes free
-//! and the gang would wait for ever. Work below the first priority leaves room
-//! for urgent work that is about to come, which is over sooner than any stop.
+//! Units are considered by priority, then by the time after which their job is
+//! late. Units that are late even if they start now come last, since serving them
+//! first would only make others late too. A gang is placed whole or not at all.
+//! While a gang waits, some of the workers that may run it are reserved, or small
+//! tasks would take each bit of capacity as it comes free and the gang would never
+//! start. Work below the highest priority leaves capacity free for urgent work that
+//! is about to arrive: that work is done sooner than any task could be stopped for it.
 
 use stoatwell_model::Resources;
 use stoatwell_model::WorkerId;
 
 use crate::Pool;
 use crate::QueueKey;
-use crate::choose::Allowed;
-use crate::choose::Ask;
 use crate::choose::Cycle;
+use crate::choose::EligibleWorker;
+use crate::choose::PlacementRequest;
 use crate::choose::WorkerView;
 use crate::id::StepId;
 use crate::id::TaskId;
@@ -23,38 +23,37 @@
 use crate::spec::AdviceSpec;
 use crate::spec::StepSpec;
 
-/// Units looked at in one cycle; those behind them wait for the next.
+/// Units considered in one scheduling cycle; the rest of the queue waits for a later one.
 const UNITS_PER_CYCLE: usize = 1_000;
-/// Share of the workers, in hundredths, that waiting gangs may keep for
-/// themselves. The first of them keeps what it needs: a gang wider than the
-/// share would never start.
+/// Percentage of the workers that may be reserved for waiting gangs. The first gang
+/// reserves all that it needs: one wider than this share would never start.
 const RESERVED_PERCENT: usize = 35;
-/// A unit that found no place is looked at again after this; a look goes through all
-/// workers that it may use, and hundreds of units may wait.
+/// Backoff of a unit that could not be placed. Each attempt goes through all workers that
+/// the unit may use, and hundreds of units may wait.
 const RETRY_BACKOFF_MS: u64 = 40;
-/// The same for urgent work, which is short of time.
+/// The same for urgent work, which has little time.
 const URGENT_RETRY_BACKOFF_MS: u64 = 15;
-/// For a gang a millisecond is added for each so many workers.
-const GANG_WORKERS_EACH_MS: usize = 10;
-/// They grow by themselves for each so many units in the queue, so that a
-/// backlog is not what keeps the scheduler from working it off.
-const QUEUE_LONG: usize = 150;
-/// What a task may take against what is expected of it, in hundredths, where it must be
-/// over in time: estimates are off by half.
-const OVER_PERCENT: u64 = 130;
+/// Number of workers that add a millisecond to the backoff of a gang.
+const GANG_BACKOFF_WORKERS_PER_MS: usize = 10;
+/// Number of queued units that lengthen each backoff by its own base value, so that
+/// a backlog does not keep the scheduler too busy to work it off.
+const BACKOFF_QUEUE_UNITS: usize = 150;
+/// Assumed duration of a task, in percent of the expected one, where the task must end
+/// before a gang can start: estimates are off by half.
+const ASSUMED_DURATION_PERCENT: u64 = 130;
 
-/// What the look at one unit came to.
+/// The result of an attempt to place a unit.
 enum Attempt {
-    /// All its tasks have a place, or wait for a ticket.
+    /// All its tasks are on a worker; some may wait for a ticket.
     Placed,
-    /// Something is left.
+    /// Some of its tasks still wait.
     Waits,
-    /// Its customer has as much as it may have.
+    /// Its customer's cap leaves no capacity for it.
     Capped,
 }
 
 impl Pool {
-    /// Places what can be placed now.
+    /// Runs one scheduling cycle: places as many queued tasks as possible.
     pub(crate) fn place(&mut self) {
         if self.queue.is_empty() {
             return;
@@ -65,7 +64,7 @@
             if reserved == 0 { usize::MAX } else { reserved_max.saturating_sub(reserved) }
         };
         let mut reserved = 0;
-        let mut lacking: Vec<(usize, Resources)> = Vec::new();
+        let mut infeasible_demands: Vec<(usize, Resources)> = Vec::new();
         for (key, step) in self.ordered_units() {
             let Some(job) = self.jobs.get(&step.job) else {
                 self.queue.remove(&key);
@@ -73,12 +72,12 @@
             };
             let Some(unit) = job.unit_of(step) else { continue };
             if job.outcome.is_some() || job.units[unit].waiting().next().is_none() {
-                self.unqueue(key, step);
+                self.dequeue(key, step);
                 continue;
             }
             let spec = job.step(unit);
-            let (gang, room) = (spec.gang, spec.worker_demand());
-            let Some(service) = cycle.service(&job.spec.queue.service) else { continue };
+            let (gang, demand) = (spec.gang, spec.worker_demand());
+            let Some(service) = cycle.service_index(&job.spec.queue.service) else { continue };
             let in_backoff = job.units[unit].retry_at_ms > self.now_ms;
             if gang && in_backoff {
                 reserved += self.renew_reservation(
@@ -89,8 +88,11 @@
                     may_reserve(reserved),
                 );
             }
-            // What no worker of the service had room for in this cycle, none has now.
-            let infeasible = lacking.iter().any(|(at, need)| *at == service && room.holds(need));
+            // If no worker of the service could fit a demand earlier in this cycle, none
+            // can fit it or a larger one now.
+            let infeasible = infeasible_demands
+                .iter()
+                .any(|(other, least)| *other == service && demand.holds(least));
             if in_backoff || (infeasible && !gang) {
                 if self.awaits_cap(step, unit) {
                     self.reserve_cap(step, unit, &mut cycle);
@@ -98,9 +100,9 @@
                 continue;
             }
             let attempt = self.place_unit(step, unit, key, &mut cycle);
-            self.note_cap(step, unit, gang && matches!(attempt, Attempt::Capped));
+            self.set_awaits_cap(step, unit, gang && matches!(attempt, Attempt::Capped));
             match attempt {
-                Attempt::Placed => self.unqueue(key, step),
+                Attempt::Placed => self.dequeue(key, step),
                 Attempt::Capped => {
                     self.back_off(step, unit, RETRY_BACKOFF_MS);
                     self.drop_reservation(step, unit);
@@ -108,7 +110,7 @@
                 }
                 Attempt::Waits if gang => {
                     self.back_off(step, unit, self.gang_backoff_ms());
-                    reserved += self.reserve_for(
+                    reserved += self.reserve_workers(
                         step,
                         unit,
                         key.priority,
@@ -118,32 +120,34 @@
                 }
                 Attempt::Waits => {
                     let urgent = key.priority == 0;
-                    let pause_ms = if urgent { URGENT_RETRY_BACKOFF_MS } else { RETRY_BACKOFF_MS };
-                    self.back_off(step, unit, pause_ms);
-                    let mut mine = cycle.workers.iter().filter(|at| at.service == service);
-                    if !mine.any(|at| at.free.holds(&room)) {
-                        lacking.push((service, room));
+                    let base_ms = if urgent { URGENT_RETRY_BACKOFF_MS } else { RETRY_BACKOFF_MS };
+                    self.back_off(step, unit, base_ms);
+                    let mut workers = cycle.workers.iter().filter(|view| view.service == service);
+                    if !workers.any(|view| view.free.holds(&demand)) {
+                        infeasible_demands.push((service, demand));
                     }
                 }
             }
         }
     }
 
-    /// Leaves a unit alone for a moment after a look that brought nothing.
-    fn back_off(&mut self, step: StepId, unit: usize, pause_ms: u64) {
-        let longer_ms = pause_ms * (self.queue.len() / QUEUE_LONG) as u64;
-        let next_ms = self.now_ms + pause_ms + longer_ms;
+    /// Delays the next attempt to place a unit.
+    fn back_off(&mut self, step: StepId, unit: usize, base_ms: u64) {
+        let backlog_ms = base_ms * (self.queue.len() / BACKOFF_QUEUE_UNITS) as u64;
+        let next_ms = self.now_ms + base_ms + backlog_ms;
         if let Some(job) = self.jobs.get_mut(&step.job) {
             job.units[unit].retry_at_ms = next_ms;
         }
     }
 
-    /// A gang is considered with all workers that may run it.
+    /// The base backoff of a gang, which grows with the workers: an attempt considers all
+    /// that may run the gang.
     fn gang_backoff_ms(&self) -> u64 {
-        RETRY_BACKOFF_MS + (self.workers.len() / GANG_WORKERS_EACH_MS) as u64
+        RETRY_BACKOFF_MS + (self.workers.len() / GANG_BACKOFF_WORKERS_PER_MS) as u64
     }
 
-    /// The queue, with what is late for good behind the rest.
+    /// The front of the queue without units in backoff; units that will be late in any
+    /// case are moved to the end.
     fn ordered_units(&self) -> Vec<(QueueKey, StepId)> {
         let mut in_time = Vec::new();
         let mut late = Vec::new();
@@ -151,7 +155,7 @@
             if self.is_in_backoff(*step) {
                 continue;
             }
-            if self.spare_ms(*key, *step) < 0 {
+            if self.slack_ms(*key, *step) < 0 {
                 late.push((*key, *step));
             } else {
                 in_time.push((*key, *step));
@@ -161,8 +165,8 @@
         in_time
     }
 
-    /// Whether a unit was considered just now. Waiting gangs stay in the cycle for the
-    /// sake of the workers, or the part of a cap, that are reserved for them.
+    /// Whether a cycle can skip a unit because of its backoff. Waiting gangs are not
+    /// skipped while workers, or a part of a cap, are reserved for them.
     fn is_in_backoff(&self, step: StepId) -> bool {
         let Some(job) = self.jobs.get(&step.job) else { return false };
         let Some(unit) = job.unit_of(step) else { return false };
@@ -170,25 +174,26 @@
         unit.retry_at_ms > self.now_ms && unit.reserved.is_empty() && !unit.awaits_cap
     }
 
-    /// How long a unit's tasks are expected to take.
-    pub(crate) fn needs_ms(&self, step: StepId) -> u64 {
+    /// How long a task of the unit is expected to run.
+    pub(crate) fn expected_task_ms(&self, step: StepId) -> u64 {
         let Some(job) = self.jobs.get(&step.job) else { return 0 };
         let estimate_ms = job.spec.steps[step.step as usize].estimate_ms;
         self.learned.expected_ms(&job.spec.queue.name, estimate_ms)
     }
 
-    /// How long a unit could wait and its job still be in time; below 0 it is late
-    /// even if the unit begins now.
-    pub(crate) fn spare_ms(&self, key: QueueKey, step: StepId) -> i64 {
+    /// How long the unit could still wait without making its job late; negative if the job
+    /// will be late even if the unit starts now.
+    pub(crate) fn slack_ms(&self, key: QueueKey, step: StepId) -> i64 {
         let Some(job) = self.jobs.get(&step.job) else { return 0 };
         let estimate_ms = job.spec.steps[step.step as usize].estimate_ms as f64;
-        let needs_ms = self.needs_ms(step) as f64;
-        // The due time stands on the estimate too; what was learned moves both.
-        let moved_ms = job.spec.queue.slack_factor * (needs_ms - estimate_ms);
-        (key.due_ms as f64 + moved_ms - self.unix_ms as f64 - needs_ms) as i64
+        let expected_ms = self.expected_task_ms(step) as f64;
+        // The due time was derived from the submitted estimate; it is moved by the slack
+        // factor times the difference from the duration that is expected now.
+        let correction_ms = job.spec.queue.slack_factor * (expected_ms - estimate_ms);
+        (key.due_ms as f64 + correction_ms - self.unix_ms as f64 - expected_ms) as i64
     }
 
-    fn unqueue(&mut self, key: QueueKey, step: StepId) {
+    fn dequeue(&mut self, key: QueueKey, step: StepId) {
         self.queue.remove(&key);
         let Some(job) = self.jobs.get_mut(&step.job) else { return };
         let Some(unit) = job.unit_of(step) else { return };
@@ -204,7 +209,9 @@
     ) -> Attempt {
         let priority = key.priority;
         let Some(job) = self.jobs.get(&step.job) else { return Attempt::Placed };
-        let Some(service) = cycle.service(&job.spec.queue.service) else { return Attempt::Waits };
+        let Some(service) = cycle.service_index(&job.spec.queue.service) else {
+            return Attempt::Waits;
+        };
         let spec = job.step(unit).clone();
         let advice = job.spec.queue.advice;
         let customer = job.customer;
@@ -213,54 +220,56 @@
         if spec.gang && waiting.len() < state.tasks.len() {
             return Attempt::Waits;
         }
-        let cap_places = self.cap_places(customer, &cycle.customers, &spec.demand);
-        let tasks_left = waiting.len();
-        if cap_places < tasks_left as u64 {
-            if spec.gang || cap_places == 0 {
+        let fit_under_cap = self.tasks_under_cap(customer, &cycle.customers, &spec.demand);
+        let waiting_count = waiting.len();
+        if fit_under_cap < waiting_count as u64 {
+            if spec.gang || fit_under_cap == 0 {
                 return Attempt::Capped;
             }
-            waiting.truncate(cap_places as usize);
+            waiting.truncate(fit_under_cap as usize);
         }
         if spec.gang && advice.is_some() && state.advice.questions > 0 {
             return Attempt::Waits;
         }
-        let mut allowed = self.allowed(step, unit, &spec, cycle);
-        let with_old_tickets = allowed.len();
+        let mut eligible = self.eligible_workers(step, unit, &spec, cycle);
+        let eligible_count = eligible.len();
         if advice.is_some() && !spec.gang {
-            allowed.retain(|one| one.ticket_fresh);
+            eligible.retain(|worker| worker.ticket_fresh);
         }
-        let candidates = self.candidates(step, unit, &spec, &allowed, cycle);
+        let candidates = self.candidates(step, unit, &spec, &eligible, cycle);
         let headroom = self.headroom(step, key);
-        let over_ms = self.now_ms + self.needs_ms(step) * OVER_PERCENT / 100;
-        let ask = Ask { step, service, spec: &spec, priority, over_ms, headroom };
+        let expected_end_ms =
+            self.now_ms + self.expected_task_ms(step) * ASSUMED_DURATION_PERCENT / 100;
+        let request =
+            PlacementRequest { step, service, spec: &spec, priority, expected_end_ms, headroom };
         let chosen = if spec.same_rack && spec.tasks > 1 {
-            self.choose_in_one_rack(&ask, unit, &waiting, candidates, cycle)
+            self.choose_in_one_rack(&request, unit, &waiting, candidates, cycle)
         } else {
-            cycle.choose(&ask, &waiting, candidates)
+            cycle.choose(&request, &waiting, candidates)
         };
-        let whole = chosen.len() == tasks_left;
-        let may_start = whole || !spec.gang;
+        let all_placed = chosen.len() == waiting_count;
+        let may_start = all_placed || !spec.gang;
         let may_query = self.may_renew(step, advice, &chosen, cycle);
         if !chosen.is_empty() && may_start && may_query {
-            for (index, at) in &chosen {
-                let name = self.names[cycle.workers[*at].slot.0].clone();
-                self.reserve(TaskId { step, index: *index }, &name);
+            for (task_index, worker_index) in &chosen {
+                let name = self.names[cycle.workers[*worker_index].slot.0].clone();
+                self.reserve(TaskId { step, index: *task_index }, &name);
             }
             if let Some(customer) = customer {
                 let used = &mut cycle.customers[customer.0];
                 *used = used.plus(&spec.demand.times(chosen.len() as u64));
             }
-            self.start_or_ask(step, &chosen, cycle);
-            if whole {
+            self.start_or_query(step, &chosen, cycle);
+            if all_placed {
                 return Attempt::Placed;
             }
         } else {
-            for (_, at) in &chosen {
-                cycle.give_back(*at, &spec.worker_demand());
+            for (_, worker_index) in &chosen {
+                cycle.deallocate(*worker_index, &spec.worker_demand());
             }
         }
         if let Some(advice) = advice.filter(|_| may_query) {
-            if with_old_tickets > allowed.len() && self.renew_tickets(step, unit, &spec, cycle) {
+            if eligible_count > eligible.len() && self.renew_tickets(step, unit, &spec, cycle) {
                 return Attempt::Waits;
             }
             self.ask_more(step, unit, &spec, advice, priority, cycle);
@@ -268,7 +277,7 @@
         Attempt::Waits
     }
 
-    /// Whether tickets for the chosen workers are at hand or can be asked for now.
+    /// Whether the chosen workers have fresh tickets, or new ones can be queried now.
     fn may_renew(
         &self,
         step: StepId,
@@ -277,109 +286,116 @@
         cycle: &Cycle,
     ) -> bool {
         let Some(rule) = advice else { return true };
-        let fresh =
-            |(_, at): &(u32, usize)| self.has_fresh_ticket(step, self.name_of(&cycle.workers[*at]));
+        let fresh = |(_, worker_index): &(u32, usize)| {
+            self.has_fresh_ticket(step, self.name_of(&cycle.workers[*worker_index]))
+        };
         (!chosen.is_empty() && chosen.iter().all(fresh)) || self.may_query(rule, chosen.len())
     }
 
-    /// The workers that may run a step, with room or without.
-    pub(crate) fn allowed(
+    /// The workers that may run a step, whether or not they have free capacity.
+    pub(crate) fn eligible_workers(
         &self,
         step: StepId,
         unit: usize,
         spec: &StepSpec,
         cycle: &Cycle,
-    ) -> Vec<Allowed> {
+    ) -> Vec<EligibleWorker> {
         let Some(job) = self.jobs.get(&step.job) else { return Vec::new() };
-        let Some(service) = cycle.service(&job.spec.queue.service) else { return Vec::new() };
-        let mut allowed = Vec::new();
+        let Some(service) = cycle.service_index(&job.spec.queue.service) else { return Vec::new() };
+        let mut eligible = Vec::new();
         if job.spec.queue.advice.is_none() {
-            for (index, room) in cycle.workers.iter().enumerate() {
-                if self.is_eligible(service, spec, room) {
-                    allowed.push(Allowed { index, ticket_fresh: true });
+            for (index, view) in cycle.workers.iter().enumerate() {
+                if self.is_eligible(service, spec, view) {
+                    eligible.push(EligibleWorker { index, ticket_fresh: true });
                 }
             }
-            return allowed;
+            return eligible;
         }
-        let sent_ms = self.sent_ms(step.job, job.spec.queue.advice);
+        let arrival_ms = self.start_arrival_ms(step.job, job.spec.queue.advice);
         for (slot, ticket) in &job.units[unit].advice.granted {
             let Some(index) = cycle.index_of(*slot) else { continue };
-            let room = &cycle.workers[index];
-            if self.is_eligible(service, spec, room) {
-                allowed.push(Allowed { index, ticket_fresh: ticket.is_fresh(room.life, sent_ms) });
+            let view = &cycle.workers[index];
+            if self.is_eligible(service, spec, view) {
+                eligible.push(EligibleWorker {
+                    index,
+                    ticket_fresh: ticket.is_fresh(view.incarnation, arrival_ms),
+                });
             }
         }
-        allowed
+        eligible
     }
 
-    /// Whether a worker is of the service and has the label.
-    pub(crate) fn is_eligible(&self, service: usize, spec: &StepSpec, room: &WorkerView) -> bool {
+    /// Whether a worker belongs to the service and has the label that the step requires.
+    pub(crate) fn is_eligible(&self, service: usize, spec: &StepSpec, view: &WorkerView) -> bool {
         let has_label = |label| {
-            let worker = self.worker_at(room.slot);
+            let worker = self.worker_at(view.slot);
             worker.is_some_and(|worker| worker.info.labels.contains(label))
         };
-        room.service == service && spec.label.as_ref().is_none_or(has_label)
+        view.service == service && spec.label.as_ref().is_none_or(has_label)
     }
 
-    pub(crate) fn name_of(&self, room: &WorkerView) -> &WorkerId {
-        &self.names[room.slot.0]
+    pub(crate) fn name_of(&self, view: &WorkerView) -> &WorkerId {
+        &self.names[view.slot.0]
     }
 
+    /// Allocates a worker's capacity for a task that may still need a ticket.
     fn reserve(&mut self, id: TaskId, name: &WorkerId) {
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
         let Some(unit) = job.unit_of(id.step) else { return };
-        let taken = job.taken(unit);
+        let allocation = job.taken(unit);
         let Some(task) = job.task_mut(id) else { return };
         task.phase = Phase::Reserved;
         task.worker = Some(name.clone());
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.allocate(id, taken);
+            worker.allocate(id, allocation);
         }
     }
 
-    /// Records the starts of chosen tasks, or first asks for tickets.
-    fn start_or_ask(&mut self, step: StepId, chosen: &[(u32, usize)], cycle: &Cycle) {
+    /// Records the starts of chosen tasks, or queries tickets first if one is not fresh.
+    fn start_or_query(&mut self, step: StepId, chosen: &[(u32, usize)], cycle: &Cycle) {
         let Some(job) = self.jobs.get(&step.job) else { return };
         let needs_tickets = job.spec.queue.advice.is_some();
         let mut names: Vec<WorkerId> = Vec::new();
         let mut stale = false;
         let mut ready = Vec::new();
-        for (index, at) in chosen {
-            let name = self.name_of(&cycle.workers[*at]);
+        for (task_index, worker_index) in chosen {
+            let name = self.name_of(&cycle.workers[*worker_index]);
             if !names.contains(name) {
                 names.push(name.clone());
             }
             stale |= needs_tickets && !self.has_fresh_ticket(step, name);
-            ready.push(TaskId { step, index: *index });
+            ready.push(TaskId { step, index: *task_index });
         }
         if stale {
-            // Asked for all of them: tickets that are good now may be old when
-            // the answer comes, and one old ticket keeps a gang from starting.
+            // The query names all of them: tickets that are fresh now may be too old when
+            // the answer arrives, and a single one keeps a gang from starting.
             self.query_advisor(step, &names);
             return;
         }
         self.record_starts(step, &ready);
     }
 
-    /// Gives tasks their next run and records them. A gang's members share it.
+    /// Assigns each task its next run number and records its start. The members of a gang
+    /// share one run number.
     pub(crate) fn record_starts(&mut self, step: StepId, tasks: &[TaskId]) {
         let Some(job) = self.jobs.get(&step.job) else { return };
         let Some(unit) = job.unit_of(step) else { return };
         let unit = &job.units[unit];
         let gang = job.spec.steps[step.step as usize].gang;
-        let newest = unit.tasks.iter().map(|task| task.run).max().unwrap_or(0);
-        let own: Vec<u32> = tasks.iter().map(|id| unit.tasks[id.index as usize].run).collect();
-        let saved = unit.tasks.iter().map(|task| task.checkpoint.clone()).max().unwrap_or_default();
-        for (id, run) in tasks.iter().zip(own) {
-            let next = if gang { newest + 1 } else { run + 1 };
+        let newest_run = unit.tasks.iter().map(|task| task.run).max().unwrap_or(0);
+        let runs: Vec<u32> = tasks.iter().map(|id| unit.tasks[id.index as usize].run).collect();
+        let checkpoint =
+            unit.tasks.iter().map(|task| task.checkpoint.clone()).max().unwrap_or_default();
+        for (id, run) in tasks.iter().zip(runs) {
+            let next_run = if gang { newest_run + 1 } else { run + 1 };
             if gang {
-                // All members have to carry the same checkpoint; any of theirs is good.
+                // All members must start from the same checkpoint; any member's will do.
                 let task = self.jobs.get_mut(&step.job).and_then(|job| job.task_mut(*id));
                 if let Some(task) = task {
-                    task.checkpoint.clone_from(&saved);
+                    task.checkpoint.clone_from(&checkpoint);
                 }
             }
-            self.record_start(*id, next);
+            self.record_start(*id, next_run);
         }
     }
 }
--- a/crates/pool/src/request.rs
+++ b/crates/pool/src/request.rs
@@ -45,7 +45,7 @@
         let need = spec.worker_demand();
         let mut names = Vec::new();
         let mut has_room = false;
-        for one in self.allowed(step, unit, spec, cycle) {
+        for one in self.eligible_workers(step, unit, spec, cycle) {
             let room = &cycle.workers[one.index];
             has_room |= room.free.holds(&need);
             names.push(self.name_of(room).clone());
@@ -83,7 +83,7 @@
         }
         advice.retry_at_ms = now_ms + ASK_AGAIN_MS;
         let Some(job) = self.jobs.get(&step.job) else { return };
-        let Some(service) = cycle.service(&job.spec.queue.service) else { return };
+        let Some(service) = cycle.service_index(&job.spec.queue.service) else { return };
         let advice = &job.units[unit].advice;
         let need = spec.worker_demand();
         let places_of = |room: &WorkerView| places_in(&room.capacity, &need);
--- a/crates/pool/src/reserve.rs
+++ b/crates/pool/src/reserve.rs
@@ -10,8 +10,8 @@
 use stoatwell_model::Resources;
 
 use crate::Pool;
-use crate::choose::Allowed;
 use crate::choose::Cycle;
+use crate::choose::EligibleWorker;
 use crate::choose::Reservation;
 use crate::choose::places_in;
 use crate::id::StepId;
@@ -31,7 +31,7 @@
 
 impl Pool {
     /// Keeps workers for a waiting gang, `most` at most; gives how many.
-    pub(crate) fn reserve_for(
+    pub(crate) fn reserve_workers(
         &mut self,
         step: StepId,
         unit: usize,
@@ -52,8 +52,8 @@
         let wanted = job.units[unit].tasks.len();
         // When each place comes free, and on which worker.
         let mut coming: Vec<(u64, usize)> = Vec::new();
-        let allowed = self.allowed(step, unit, spec, cycle);
-        let empty = |one: &Allowed| places_in(&cycle.workers[one.index].capacity, &need);
+        let allowed = self.eligible_workers(step, unit, spec, cycle);
+        let empty = |one: &EligibleWorker| places_in(&cycle.workers[one.index].capacity, &need);
         let places: u64 = allowed.iter().map(empty).sum();
         if wanted as u64 * 100 < places * RESERVING_PERCENT {
             return 0;
@@ -150,6 +150,6 @@
         if percent >= PERCENT_MIN {
             return had_ms * (100 - percent) / percent;
         }
-        self.needs_ms(id.step).saturating_sub(had_ms).max(OVERDUE_MS)
+        self.expected_task_ms(id.step).saturating_sub(had_ms).max(OVERDUE_MS)
     }
 }
