--- a/crates/pool/src/holds.rs
+++ b/crates/pool/src/holds.rs
@@ -1,8 +1,9 @@
-//! Workers: who is listed, who is held, and what their lists tell.
+//! Liveness, leases and run reports of workers.
 //!
-//! A waiting hold is kept at every worker. It extends the lease on everything
-//! there, tells at once when a run ends, and shows by its silence that the
-//! worker or the way to it is gone.
+//! The scheduler keeps one hold pending at every worker. A hold is a long poll: it
+//! extends the lease of everything that runs on the worker, its answer reports the
+//! active and ended runs and is sent at once when a run ends, and a missing answer
+//! shows that the worker or the connection to it has failed.
 
 use std::collections::HashMap;
 
@@ -22,29 +23,32 @@
 use crate::runs::callee;
 use crate::worker::Worker;
 
-/// How long a hold waits for an end: long enough that idle workers cost two
-/// calls a second, short enough to show within a second that tasks stand still.
+/// How long a worker may delay the answer to a hold until a run ends. This costs two
+/// calls a second for an idle worker, and shows within a second that tasks make no
+/// progress.
 const HOLD_WAIT_MS: u64 = 500;
-/// With more workers than this a hold waits twice as long: polls that bring nothing would
-/// take much of the scheduler's processor time.
-const WORKERS_MANY: usize = 100;
-/// After a hold without answer the next one waits this long.
-const HOLD_PAUSE_MS: u64 = 200;
-/// After a hold of a worker that was lost and is still listed.
-const LOST_PAUSE_MS: u64 = 1_000;
-/// A hold whose answer never comes is given up by the caller well before this.
+/// Number of workers above which a hold waits twice as long. Holds that report nothing new
+/// would take much of the scheduler's CPU time.
+const LONG_WAIT_WORKERS: usize = 100;
+/// Delay before the next hold after one that failed.
+const HOLD_RETRY_DELAY_MS: u64 = 200;
+/// Delay between the holds of a worker that is lost and still listed.
+const LOST_WORKER_HOLD_DELAY_MS: u64 = 1_000;
+/// Time after which a hold counts as lost although neither an answer nor an error has
+/// arrived. The caller's own timeout is well below this.
 const HOLD_LOST_MS: u64 = 4_000;
-/// How long after it last renewed the duty a scheduler extends leases. Another one
-/// may hold the duty by then and reach some workers that this one does not, and
-/// the other way round; tasks would run twice if both counted on their worker. Store
-/// outages of this and a lease, ten seconds, cycle without a run being lost.
+/// How long after its last renewal of the leader lease a scheduler extends the leases of
+/// workers. After that, another scheduler may be the leader, and each of the two may reach
+/// workers that the other one does not; tasks would run twice if both relied on their
+/// workers. A store outage of this time plus a worker's lease, ten seconds together, ends
+/// without the loss of a run.
 pub const EXTENSION_WINDOW_MS: u64 = 4_000;
-/// Added to the lease that an earlier scheduler may have granted, for calls that
-/// were under way.
-const EARLIER_MARGIN_MS: u64 = 500;
-/// How long after it was sent an order may still be carried out by a worker that
-/// was not held since; workers do so up to 12 s late.
-const LATE_ORDER_MS: u64 = 13_000;
+/// Margin added to the lease that an earlier scheduler may have granted, for calls in
+/// flight.
+const IN_FLIGHT_MARGIN_MS: u64 = 500;
+/// How long after it was sent a request may still take effect on a worker that has not
+/// answered a hold since. Workers execute requests up to 12 s late.
+const LATE_REQUEST_MS: u64 = 13_000;
 
 impl Pool {
     pub(crate) fn on_listed(&mut self, update: WorkerUpdate) {
@@ -58,14 +62,14 @@
             return;
         }
         if update.life > worker.info.life {
-            let life = update.life;
+            let incarnation = update.life;
             worker.info = WorkerUpdate { life: worker.info.life, ..update };
             worker.listed = true;
-            self.begin_life(&name, life);
+            self.begin_incarnation(&name, incarnation);
             return;
         }
         if update.draining && !worker.info.draining {
-            tracing::info!(worker = %name, remaining_ms = update.remaining_ms, "worker drains");
+            tracing::info!(worker = %name, remaining_ms = update.remaining_ms, "worker is draining");
         }
         if !worker.listed {
             tracing::info!(worker = %name, "worker listed again");
@@ -75,16 +79,16 @@
         self.place_due = true;
     }
 
-    /// When whatever an earlier scheduler allowed has lapsed for sure.
+    /// When every lease that an earlier scheduler granted has certainly expired.
     pub(crate) fn earlier_lease_expiry_ms(&self) -> u64 {
-        let lease_ms = by_slow_clock(self.limits.lease_ms) + EARLIER_MARGIN_MS;
+        let lease_ms = on_slow_clock(self.limits.lease_ms) + IN_FLIGHT_MARGIN_MS;
         self.started_ms + self.election.earlier_extends_ms + lease_ms
     }
 
-    /// Takes note that the duty was renewed at a moment, so that leases may be
-    /// extended for [`EXTENSION_WINDOW_MS`] more.
-    pub fn note_renewal(&mut self, at_ms: u64) {
-        self.renewed_ms = self.renewed_ms.max(at_ms);
+    /// Notes a renewal of the leader lease at `renewed_ms`, in steady time. The leases of
+    /// workers may be extended until [`EXTENSION_WINDOW_MS`] after it.
+    pub fn note_renewal(&mut self, renewed_ms: u64) {
+        self.renewed_ms = self.renewed_ms.max(renewed_ms);
     }
 
     pub(crate) fn on_unlisted(&mut self, name: &WorkerId) {
@@ -93,13 +97,13 @@
         tracing::info!(worker = %name, tasks = worker.tasks.len(), "worker no longer listed");
     }
 
-    /// A worker started anew: nothing that it listed before runs on it.
+    /// Handles a restart of a worker: no run that it reported before exists any more.
     ///
-    /// Starts that were under way may have reached the new life, under a token
-    /// that it had no reason to refuse. Taken for lost they would run twice; the
-    /// first hold under the new token tells which are there.
-    pub(crate) fn begin_life(&mut self, name: &WorkerId, life: u64) {
-        tracing::warn!(worker = %name, life, "worker began a new life");
+    /// Starts that were in flight may have reached the new incarnation, which had no reason
+    /// to refuse their token. If they counted as lost, their tasks would run twice, so they
+    /// are kept; the first hold under the new token tells which of them run.
+    pub(crate) fn begin_incarnation(&mut self, name: &WorkerId, life: u64) {
+        tracing::warn!(worker = %name, life, "worker restarted");
         let Some(worker) = self.workers.get(name) else { return };
         let mut tasks: Vec<TaskId> = worker.tasks.keys().copied().collect();
         tasks.sort_unstable();
@@ -119,18 +123,18 @@
                 }
             }
         }
-        let lapse_ms = self.now_ms + by_slow_clock(self.limits.lease_max_ms) + LATE_ORDER_MS;
+        let expiry_ms = self.now_ms + on_slow_clock(self.limits.lease_max_ms) + LATE_REQUEST_MS;
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.begin_life(life, self.turn, lapse_ms);
+            worker.begin_incarnation(life, self.turn, expiry_ms);
         }
     }
 
-    /// A worker is gone for good, with all that ran on it.
+    /// Handles the loss of a worker for good, with all its runs.
     pub(crate) fn lose_worker(&mut self, name: &WorkerId, why: &str) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         if std::mem::replace(&mut worker.lost, true) && worker.tasks.is_empty() {
-            // Its entry outlives it; each hold would tell the same again.
-            worker.next_hold_ms = self.now_ms + LOST_PAUSE_MS;
+            // Its list entry outlives the worker, and each hold would bring the same result.
+            worker.next_hold_ms = self.now_ms + LOST_WORKER_HOLD_DELAY_MS;
             return;
         }
         tracing::warn!(worker = %name, why, "worker lost");
@@ -140,15 +144,15 @@
         worker.clock = None;
         worker.lease_end_max = 0;
         worker.earlier_lease_expiry_ms = 0;
-        worker.strangers.clear();
-        worker.next_hold_ms = self.now_ms + HOLD_PAUSE_MS;
-        worker.add_up();
+        worker.unwanted_runs.clear();
+        worker.next_hold_ms = self.now_ms + HOLD_RETRY_DELAY_MS;
+        worker.recompute_usage();
         if !worker.listed {
             self.workers.remove(name);
         }
     }
 
-    /// Takes all tasks away from a worker on which nothing runs any more.
+    /// Requeues all tasks of a worker on which certainly nothing runs any more.
     fn lose_tasks(&mut self, name: &WorkerId) {
         let Some(worker) = self.workers.get(name) else { return };
         let mut tasks: Vec<TaskId> = worker.tasks.keys().copied().collect();
@@ -159,7 +163,7 @@
         }
     }
 
-    /// A run is known to be nowhere.
+    /// Releases and requeues a task whose run certainly exists nowhere any more.
     pub(crate) fn lose_run(&mut self, id: TaskId) {
         self.release(id);
         self.break_gang(id);
@@ -180,22 +184,22 @@
         let reply = match reply {
             Ok(reply) => reply,
             Err(error) => {
-                worker.next_hold_ms = now_ms + HOLD_PAUSE_MS;
+                worker.next_hold_ms = now_ms + HOLD_RETRY_DELAY_MS;
                 self.on_hold_failed(name, error);
                 return;
             }
         };
-        // An answer to an earlier life's token says nothing of the present one.
-        if reply.life < worker.info.life || turn <= worker.life_began_turn {
+        // An answer to the token of an earlier incarnation says nothing about this one.
+        if reply.life < worker.info.life || turn <= worker.incarnation_turn {
             return;
         }
         if reply.life > worker.info.life {
-            self.begin_life(name, reply.life);
+            self.begin_incarnation(name, reply.life);
             if let Some(worker) = self.workers.get_mut(name) {
-                // What this life holds is not known before the list tells it.
+                // The capacity of the new incarnation is unknown until it is listed.
                 worker.listed = false;
             }
-            // The answer was given to a token that counts for the old life.
+            // The answer was given to a token of the old incarnation.
             return;
         }
         worker.answered_ms = now_ms;
@@ -204,14 +208,14 @@
         worker.refuses_connections = false;
         worker.clock = Some((reply.clock_ms, now_ms));
         if !worker.held {
-            tracing::info!(worker = %name, active = reply.active.len(), ended = reply.ended.len(), "worker held");
+            tracing::info!(worker = %name, active = reply.active.len(), ended = reply.ended.len(), "hold established");
             worker.held = true;
         }
         worker.next_hold_ms = now_ms;
-        self.take_in_ends(name, &reply);
-        self.compare(name, turn, &reply);
-        self.judge_speed(name);
-        self.pace_fillers(name, &reply);
+        self.handle_ended_runs(name, &reply);
+        self.reconcile(name, turn, &reply);
+        self.check_speed(name);
+        self.throttle_best_effort(name, &reply);
         self.place_due = true;
     }
 
@@ -219,26 +223,30 @@
         let Some(worker) = self.workers.get_mut(name) else { return };
         worker.unanswered_calls += 1;
         if worker.unanswered_calls == 1 {
-            tracing::warn!(worker = %name, %error, tasks = worker.tasks.len(), "hold not answered");
+            tracing::warn!(worker = %name, %error, tasks = worker.tasks.len(), "hold failed");
         }
         match error {
             CallError::Refused => worker.refuses_connections = true,
-            CallError::OtherLife => self.lose_worker(name, "another one answers at its address"),
+            CallError::OtherLife => {
+                self.lose_worker(name, "another worker or incarnation answers at its address");
+            }
             CallError::Superseded => {
-                tracing::warn!(worker = %name, "worker follows a higher token");
+                tracing::warn!(worker = %name, "worker has seen a higher fencing token; stepping down");
                 self.deposed = true;
             }
             CallError::NoAnswer | CallError::NotSent | CallError::Unwell => {}
         }
     }
 
-    fn take_in_ends(&mut self, name: &WorkerId, reply: &HoldReply) {
+    /// Processes the reported ends that were not processed yet. The worker may forget an end
+    /// once the row of its job is durable.
+    fn handle_ended_runs(&mut self, name: &WorkerId, reply: &HoldReply) {
         for ended in &reply.ended {
             let Some(worker) = self.workers.get_mut(name) else { return };
-            if ended.number <= worker.taken_in {
+            if ended.number <= worker.last_processed_end {
                 continue;
             }
-            worker.taken_in = ended.number;
+            worker.last_processed_end = ended.number;
             let life = worker.info.life;
             let job = ended.task.step.job;
             if self.jobs.contains_key(&job) {
@@ -250,61 +258,61 @@
         }
     }
 
-    /// Holds what a worker lists against what is believed to be there.
-    fn compare(&mut self, name: &WorkerId, turn: u64, reply: &HoldReply) {
+    /// Reconciles the runs that a worker reports with the tasks that are placed there.
+    fn reconcile(&mut self, name: &WorkerId, turn: u64, reply: &HoldReply) {
         let now_ms = self.now_ms;
         let this_turn = self.turn;
         let Some(worker) = self.workers.get(name) else { return };
-        let here: Vec<TaskId> = worker.tasks.keys().copied().collect();
-        let mut listed: HashMap<(TaskId, u32), &crate::event::Active> = HashMap::new();
+        let placed: Vec<TaskId> = worker.tasks.keys().copied().collect();
+        let mut reported: HashMap<(TaskId, u32), &crate::event::Active> = HashMap::new();
         for active in &reply.active {
-            listed.insert((active.task, active.run), active);
+            reported.insert((active.task, active.run), active);
         }
         let mut gone = Vec::new();
-        for id in here {
+        for id in placed {
             let Some(task) = self.jobs.get_mut(&id.step.job).and_then(|job| job.task_mut(id))
             else {
                 continue;
             };
-            if let Some(active) = listed.remove(&(id, task.run)) {
-                note_active(task, active, now_ms, this_turn);
+            if let Some(active) = reported.remove(&(id, task.run)) {
+                update_running_task(task, active, now_ms, this_turn);
                 self.note_begun(id);
                 continue;
             }
-            if is_gone(task, turn) {
+            if is_surely_gone(task, turn) {
                 gone.push(id);
             }
         }
         gone.sort_unstable();
         for id in gone {
-            tracing::warn!(task = %id, worker = %name, "run is not on its worker");
+            tracing::warn!(task = %id, worker = %name, "run is missing from its worker's report");
             self.lose_run(id);
         }
-        self.stop_strangers(name, listed.into_keys().collect());
+        self.stop_unwanted_runs(name, reported.into_keys().collect());
     }
 
-    /// Runs that nothing here asks for are stopped; until they are gone they
-    /// take the room that they were started with.
-    fn stop_strangers(&mut self, name: &WorkerId, mut strangers: Vec<(TaskId, u32)>) {
-        strangers.sort_unstable();
-        let mut rooms = Vec::new();
-        for (id, run) in strangers {
+    /// Stops reported runs that the scheduler does not want. Until they are gone they
+    /// count with the allocations that they were started with.
+    fn stop_unwanted_runs(&mut self, name: &WorkerId, mut unwanted: Vec<(TaskId, u32)>) {
+        unwanted.sort_unstable();
+        let mut allocations = Vec::new();
+        for (id, run) in unwanted {
             let Some(job) = self.jobs.get(&id.step.job) else {
-                self.stop_stranger(name, id, run);
+                self.stop_unwanted_run(name, id, run);
                 continue;
             };
             if let Some(unit) = job.unit_of(id.step) {
-                rooms.push(job.taken(unit));
+                allocations.push(job.taken(unit));
             }
-            self.stop_stranger(name, id, run);
+            self.stop_unwanted_run(name, id, run);
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
-        worker.strangers = rooms;
-        worker.add_up();
+        worker.unwanted_runs = allocations;
+        worker.recompute_usage();
     }
 
-    fn stop_stranger(&mut self, name: &WorkerId, task: TaskId, run: u32) {
-        tracing::warn!(%task, run, worker = %name, "run that is not wanted, stopped");
+    fn stop_unwanted_run(&mut self, name: &WorkerId, task: TaskId, run: u32) {
+        tracing::warn!(%task, run, worker = %name, "worker reports an unwanted run; stopping it");
         let Some(to) = callee(self.election.epoch, &self.workers, name) else { return };
         self.effects.push(Effect::Stop(StopCall { to, task, run }));
     }
@@ -314,38 +322,38 @@
         let now_ms = self.now_ms;
         let lease_ms = self.limits.lease_ms;
         let turn = self.turn;
-        let renewed = now_ms < self.renewed_ms + EXTENSION_WINDOW_MS;
-        let many = self.workers.len() > WORKERS_MANY;
-        let wait_ms = if many { HOLD_WAIT_MS * 2 } else { HOLD_WAIT_MS };
+        let may_extend = now_ms < self.renewed_ms + EXTENSION_WINDOW_MS;
+        let many_workers = self.workers.len() > LONG_WAIT_WORKERS;
+        let wait_ms = if many_workers { HOLD_WAIT_MS * 2 } else { HOLD_WAIT_MS };
         let mut due = Vec::new();
         for (name, worker) in &mut self.workers {
             let probe = worker.held && std::mem::take(&mut worker.probe_due);
             let lost = worker.hold_sent_ms + HOLD_LOST_MS < now_ms;
-            let waits = worker.hold_turn.is_some() && !lost;
-            if !probe && (waits || worker.next_hold_ms > now_ms) {
+            let pending = worker.hold_turn.is_some() && !lost;
+            if !probe && (pending || worker.next_hold_ms > now_ms) {
                 continue;
             }
-            // Ends whose rows are not durable yet would be returned at once,
-            // again and again; their commit makes the next hold due.
+            // The worker would answer at once with the ends whose rows are not durable yet,
+            // again and again; the commit of these rows makes the next hold due.
             if !probe
                 && worker.held
                 && !worker.non_durable_ends.is_empty()
-                && !near_end(worker, now_ms)
+                && !is_hold_overdue(worker, now_ms)
             {
                 continue;
             }
-            if !waits {
+            if !pending {
                 worker.hold_turn = Some(turn);
                 worker.hold_sent_ms = now_ms;
             }
-            // A worker that is silent gets no longer lease: whatever was allowed
-            // before has to lapse some day, or its tasks could never go elsewhere.
-            let extends = worker.held && worker.unanswered_calls == 0 && renewed;
+            // The lease of a worker that does not answer is not extended: it has to expire
+            // some day, or the tasks of the worker could never run elsewhere.
+            let extends = worker.held && worker.unanswered_calls == 0 && may_extend;
             let until_ms = worker.lease_end(now_ms, lease_ms).filter(|_| extends);
             worker.lease_end_max = worker.lease_end_max.max(until_ms.unwrap_or(0));
             let at_once = probe || !worker.held || !worker.non_durable_ends.is_empty();
             let wait_ms = if at_once { 0 } else { wait_ms };
-            due.push((name.clone(), until_ms, worker.forget(), wait_ms));
+            due.push((name.clone(), until_ms, worker.last_durable_end(), wait_ms));
         }
         for (name, until_ms, forget, wait_ms) in due {
             let Some(to) = callee(self.election.epoch, &self.workers, &name) else { continue };
@@ -353,45 +361,51 @@
         }
     }
 
-    /// Takes tasks away from workers whose lease has lapsed for sure.
+    /// Requeues the tasks of unreachable workers whose lease has certainly expired, and
+    /// removes unreachable workers that are no longer listed and have no tasks.
     pub(crate) fn sweep_workers(&mut self) {
         let now_ms = self.now_ms;
-        let mut lapsed = Vec::new();
-        let mut gone = Vec::new();
+        let mut expired = Vec::new();
+        let mut removed = Vec::new();
         for (name, worker) in &self.workers {
-            if worker.unanswered_calls > 0 && !worker.tasks.is_empty() && worker.is_lapsed(now_ms) {
-                lapsed.push(name.clone());
+            if worker.unanswered_calls > 0
+                && !worker.tasks.is_empty()
+                && worker.is_lease_expired(now_ms)
+            {
+                expired.push(name.clone());
             }
             if !worker.listed && worker.tasks.is_empty() && worker.unanswered_calls > 0 {
-                gone.push(name.clone());
+                removed.push(name.clone());
             }
         }
-        for name in lapsed {
-            tracing::warn!(worker = %name, "lease of a silent worker has lapsed");
+        for name in expired {
+            tracing::warn!(worker = %name, "lease of an unreachable worker expired");
             self.lose_tasks(&name);
             if let Some(worker) = self.workers.get_mut(&name) {
-                // What it may still list of before is refused by a new hold only.
+                // Only a new hold rejects what the worker may still report from before.
                 worker.held = false;
             }
         }
-        for name in gone {
-            tracing::info!(worker = %name, "worker forgotten");
+        for name in removed {
+            tracing::info!(worker = %name, "unlisted and unreachable worker removed");
             self.workers.remove(&name);
         }
     }
 }
 
-/// How long a worker's clock may take for a time.
-fn by_slow_clock(time_ms: u64) -> u64 {
-    time_ms * 1_025 / 1_000
+/// The longest that a duration on a worker's clock may last on the local clock.
+fn on_slow_clock(duration_ms: u64) -> u64 {
+    duration_ms * 1_025 / 1_000
 }
 
-/// Whether the lease needs a call soon, whatever else holds it up.
-fn near_end(worker: &Worker, now_ms: u64) -> bool {
+/// Whether the last answer is so old that a hold has to extend the lease soon, even if ends
+/// still wait for their rows.
+fn is_hold_overdue(worker: &Worker, now_ms: u64) -> bool {
     worker.answered_ms + HOLD_WAIT_MS * 2 < now_ms
 }
 
-fn note_active(task: &mut Task, active: &crate::event::Active, now_ms: u64, turn: u64) {
+/// Updates a task from the worker's report of its run.
+fn update_running_task(task: &mut Task, active: &crate::event::Active, now_ms: u64, turn: u64) {
     if matches!(task.phase, Phase::Sent | Phase::Adopted) {
         task.phase = Phase::Running { since_turn: turn };
         task.moved_ms = now_ms;
@@ -407,8 +421,9 @@
     }
 }
 
-/// Whether a task that its worker does not list is nowhere for sure.
-fn is_gone(task: &Task, hold_turn: u64) -> bool {
+/// Whether the run of a task that its worker did not report in the answer to a hold sent in
+/// `hold_turn` certainly exists nowhere.
+fn is_surely_gone(task: &Task, hold_turn: u64) -> bool {
     match task.phase {
         Phase::Adopted | Phase::Done => true,
         Phase::Running { since_turn } => since_turn < hold_turn,
--- a/crates/pool/src/pace.rs
+++ b/crates/pool/src/pace.rs
@@ -29,7 +29,7 @@
 
 impl Pool {
     /// Sets the pace of the fillers on a worker by what its serving tasks report.
-    pub(crate) fn pace_fillers(&mut self, name: &WorkerId, reply: &HoldReply) {
+    pub(crate) fn throttle_best_effort(&mut self, name: &WorkerId, reply: &HoldReply) {
         let mut fillers: Vec<(TaskId, u32)> = Vec::new();
         let mut tightest_percent = 0;
         for active in &reply.active {
--- a/crates/pool/src/speed.rs
+++ b/crates/pool/src/speed.rs
@@ -28,7 +28,7 @@
 
 impl Pool {
     /// Compares the progress of a worker's tasks with the time they had.
-    pub(crate) fn judge_speed(&mut self, name: &WorkerId) {
+    pub(crate) fn check_speed(&mut self, name: &WorkerId) {
         let now_ms = self.now_ms;
         let Some(worker) = self.workers.get(name) else { return };
         let (mut time_ms, mut done_ms) = (0, 0);
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -1,4 +1,4 @@
-//! One worker as the scheduler sees it: its room, its lease, its lists.
+//! The scheduler's view of one worker: its capacity, lease and reported runs.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -9,31 +9,33 @@
 use crate::event::WorkerUpdate;
 use crate::id::TaskId;
 
-/// A worker's clock may lose this much, in thousandths.
+/// The largest rate at which a worker's clock may fall behind.
 const SLOW_CLOCK_PERMILLE: u64 = 20;
-/// Added before a lease counts as lapsed, for the time the worker takes to kill what ran.
-const LAPSE_MARGIN_MS: u64 = 300;
-/// A worker whose last answer is older gets no new task; two waiting holds fit in.
+/// Margin before a lease counts as expired, for the time that the worker takes to kill its
+/// runs.
+const LEASE_EXPIRY_MARGIN_MS: u64 = 300;
+/// Age of the last answer above which a worker gets no new tasks. Two holds with their full
+/// wait fit into it.
 const ANSWER_AGE_MAX_MS: u64 = 2_500;
-/// Failed runs in a row, without one that did well, after which a worker is
-/// left alone. One run in twenty fails through its own fault, so two in a row
-/// are the worker's with good odds.
+/// Consecutive failed runs after which a worker is put into quarantine. One run in twenty
+/// fails through its own fault, so two in a row are probably the worker's fault.
 const FAILURES_MAX: u32 = 2;
-/// The pace of a task at its start, in hundredths.
+/// The pace of a task that is not throttled, in percent.
 pub(crate) const FULL_PACE: u32 = 100;
-/// How long it is left alone at first; doubled each time up to eight times.
+/// The duration of the first quarantine. It doubles with each further one, up to eight
+/// times this value.
 const QUARANTINE_MS: u64 = 2_500;
 
-/// A worker's number, which no other worker of a pool ever gets.
+/// The index of a worker in its pool; never reused for another worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Slot(pub usize);
 
-/// What a task takes.
+/// The resources that a run takes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Allocation {
-    /// Of its worker's room.
+    /// Taken from the worker's capacity.
     pub worker_demand: Resources,
-    /// Of its customer's cap.
+    /// Counted towards the customer's cap.
     pub demand: Resources,
     pub customer: Option<CustomerId>,
 }
@@ -44,51 +46,55 @@
     pub slot: Slot,
     pub info: WorkerUpdate,
     pub listed: bool,
-    /// Counts lives; part of the token, so that orders for an earlier life are refused.
+    /// Counts the restarts seen. It is part of the fencing token, so that requests meant for
+    /// an earlier incarnation are refused.
     pub incarnations: u64,
-    /// Whether a hold under the present token was answered.
+    /// Whether a hold under the current token has been answered.
     pub held: bool,
-    /// The turn in which the hold under way was made.
+    /// The turn in which the pending hold was sent; `None` if none is pending.
     pub hold_turn: Option<u64>,
     pub hold_sent_ms: u64,
     pub next_hold_ms: u64,
-    /// Whether a hold that does not wait shall tell what a stop has left.
+    /// Whether to send a hold without wait, to learn whether a stopped run is gone.
     pub probe_due: bool,
-    /// When the present life was first known of; 0 for the first one.
-    pub life_began_turn: u64,
-    /// The worker's clock, and when the answer that told it came.
+    /// The turn in which the current incarnation was discovered; 0 for the first one.
+    pub incarnation_turn: u64,
+    /// The time on the worker's clock and the local time of the answer that reported it;
+    /// `None` if no hold has been answered.
     pub clock: Option<(u64, u64)>,
-    /// The latest moment on the worker's clock that was ever allowed.
+    /// The latest lease end that was ever granted, on the worker's clock.
     pub lease_end_max: u64,
-    /// When the lease of an earlier scheduler has lapsed for sure.
+    /// When every lease of an earlier scheduler has certainly expired.
     pub earlier_lease_expiry_ms: u64,
-    /// Ends up to this number were taken in.
-    pub taken_in: u64,
-    /// Numbers of ends that are taken in and not durable yet.
+    /// The number of the last ended run that was processed.
+    pub last_processed_end: u64,
+    /// Numbers of processed ends whose rows are not durable yet.
     pub non_durable_ends: BTreeSet<u64>,
-    /// Tasks that have room here, with it.
+    /// Tasks placed on this worker.
     pub tasks: BTreeMap<TaskId, Allocation>,
-    /// Runs that are none of ours but take room.
-    pub strangers: Vec<Allocation>,
+    /// Allocations of runs that the worker reported and the scheduler does not want.
+    pub unwanted_runs: Vec<Allocation>,
     pub used: Resources,
-    /// What tasks of each customer take.
+    /// What the runs of each customer count towards its cap.
     pub by_customer: BTreeMap<CustomerId, Resources>,
+    /// Failed or stalled runs since the last successful one; see [`Self::record_failure`].
     pub failures: u32,
+    /// Quarantines since the last successful run.
     pub quarantines: u32,
     pub quarantine_until_ms: u64,
-    /// Its speed against what its tasks were expected to take, as last judged.
+    /// The measured speed in percent of the one expected from the estimates of its tasks.
     pub speed_percent: u64,
-    /// When it last showed that it does what it is told.
+    /// When it last answered a hold.
     pub answered_ms: u64,
-    /// Calls without answer in a row.
+    /// Consecutive calls without an answer.
     pub unanswered_calls: u32,
-    /// The pace of tasks that fill here, in hundredths, and when it last changed.
+    /// The pace of the best-effort tasks on this worker, in percent.
     pub pace_percent: u32,
     pub pace_changed_ms: u64,
-    /// Whether another one answers at its address, as the newest call told.
+    /// Whether another worker or incarnation answered the latest call to its address.
     pub lost: bool,
-    /// Whether the newest connection to it was refused. That says nothing about
-    /// what runs there: a firewall refuses as a host without the process does.
+    /// Whether the latest connection attempt was refused. That says nothing about the runs
+    /// on the worker: a firewall refuses connections just like a host without the process.
     pub refuses_connections: bool,
 }
 
@@ -104,14 +110,14 @@
             hold_sent_ms: 0,
             next_hold_ms: 0,
             probe_due: false,
-            life_began_turn: 0,
+            incarnation_turn: 0,
             clock: None,
             lease_end_max: 0,
             earlier_lease_expiry_ms,
-            taken_in: 0,
+            last_processed_end: 0,
             non_durable_ends: BTreeSet::new(),
             tasks: BTreeMap::new(),
-            strangers: Vec::new(),
+            unwanted_runs: Vec::new(),
             used: Resources::ZERO,
             by_customer: BTreeMap::new(),
             failures: 0,
@@ -127,12 +133,12 @@
         }
     }
 
-    /// Forgets what belongs to an earlier life. Its tasks are the caller's to take away.
-    /// Orders that were under way may still be carried out up to a moment.
-    pub fn begin_life(&mut self, life: u64, turn: u64, earlier_lease_expiry_ms: u64) {
-        self.life_began_turn = turn;
+    /// Resets the state of the earlier incarnation. The caller requeues the tasks of its
+    /// runs. Requests in flight may still take effect until `earlier_lease_expiry_ms`.
+    pub fn begin_incarnation(&mut self, incarnation: u64, turn: u64, earlier_lease_expiry_ms: u64) {
+        self.incarnation_turn = turn;
         self.earlier_lease_expiry_ms = earlier_lease_expiry_ms;
-        self.info.life = life;
+        self.info.life = incarnation;
         self.incarnations += 1;
         self.lost = false;
         self.held = false;
@@ -140,21 +146,21 @@
         self.next_hold_ms = 0;
         self.clock = None;
         self.lease_end_max = 0;
-        self.taken_in = 0;
+        self.last_processed_end = 0;
         self.non_durable_ends.clear();
-        self.strangers.clear();
+        self.unwanted_runs.clear();
         self.failures = 0;
         self.quarantine_until_ms = 0;
         self.pace_percent = FULL_PACE;
-        self.add_up();
+        self.recompute_usage();
     }
 
-    /// Whether new tasks may go here.
+    /// Whether the worker may get new tasks.
     pub fn is_open(&self, now_ms: u64) -> bool {
         self.is_reachable(now_ms) && self.quarantine_until_ms <= now_ms
     }
 
-    /// Whether nothing but failed runs speaks against new tasks here.
+    /// Whether the worker would be open but for a quarantine after failed runs.
     pub fn is_only_suspect(&self, now_ms: u64) -> bool {
         self.is_reachable(now_ms) && self.quarantine_until_ms > now_ms && self.is_suspect()
     }
@@ -167,83 +173,84 @@
             && self.answered_ms + ANSWER_AGE_MAX_MS > now_ms
     }
 
-    /// Whether it failed or held up a run and did none well since.
+    /// Whether a run has failed or stalled here since the last successful one.
     pub fn is_suspect(&self) -> bool {
         self.failures > 0
     }
 
-    /// What is free.
     pub fn free(&self) -> Resources {
         self.info.capacity.minus(&self.used)
     }
 
-    /// Takes room for a task.
-    pub fn allocate(&mut self, task: TaskId, taken: Allocation) {
-        self.tasks.insert(task, taken);
-        self.used = self.used.plus(&taken.worker_demand);
-        if let Some(customer) = taken.customer {
+    pub fn allocate(&mut self, task: TaskId, allocation: Allocation) {
+        self.tasks.insert(task, allocation);
+        self.used = self.used.plus(&allocation.worker_demand);
+        if let Some(customer) = allocation.customer {
             let sum = self.by_customer.entry(customer).or_default();
-            *sum = sum.plus(&taken.demand);
+            *sum = sum.plus(&allocation.demand);
         }
     }
 
-    /// Gives a task's room back.
     pub fn deallocate(&mut self, task: TaskId) {
         if self.tasks.remove(&task).is_some() {
-            self.add_up();
+            self.recompute_usage();
         }
     }
 
-    /// Works the used room out anew.
-    pub fn add_up(&mut self) {
+    /// Sums up all allocations again.
+    pub fn recompute_usage(&mut self) {
         let mut used = Resources::ZERO;
         let mut by_customer: BTreeMap<CustomerId, Resources> = BTreeMap::new();
-        for taken in self.tasks.values().chain(&self.strangers) {
-            used = used.plus(&taken.worker_demand);
-            if let Some(customer) = taken.customer {
+        for allocation in self.tasks.values().chain(&self.unwanted_runs) {
+            used = used.plus(&allocation.worker_demand);
+            if let Some(customer) = allocation.customer {
                 let sum = by_customer.entry(customer).or_default();
-                *sum = sum.plus(&taken.demand);
+                *sum = sum.plus(&allocation.demand);
             }
         }
         self.used = used;
         self.by_customer = by_customer;
     }
 
-    /// A moment on the worker's clock, this long from now. The clock may be
-    /// slower than ours, so the lease may end up a little longer, never shorter.
+    /// The end of a lease of this length from now, on the worker's clock; `None` if that clock
+    /// is unknown. The clock may be slower than the local one, so the lease may last a little
+    /// longer, never shorter.
     pub fn lease_end(&self, now_ms: u64, lease_ms: u64) -> Option<u64> {
-        let (clock, at_ms) = self.clock?;
-        Some(clock + now_ms.saturating_sub(at_ms) + lease_ms)
+        let (clock_ms, reported_ms) = self.clock?;
+        Some(clock_ms + now_ms.saturating_sub(reported_ms) + lease_ms)
     }
 
-    /// Whether everything that was ever allowed here has been killed for sure.
-    pub fn is_lapsed(&self, now_ms: u64) -> bool {
-        let Some((clock, at_ms)) = self.clock else { return now_ms > self.earlier_lease_expiry_ms };
-        let passed_ms = now_ms.saturating_sub(at_ms);
-        let at_least = passed_ms - passed_ms * SLOW_CLOCK_PERMILLE / 1_000;
-        clock + at_least > self.lease_end_max + LAPSE_MARGIN_MS
+    /// Whether every lease ever granted here has certainly expired and its runs are killed.
+    pub fn is_lease_expired(&self, now_ms: u64) -> bool {
+        let Some((clock_ms, reported_ms)) = self.clock else {
+            return now_ms > self.earlier_lease_expiry_ms;
+        };
+        let elapsed_ms = now_ms.saturating_sub(reported_ms);
+        let min_elapsed_ms = elapsed_ms - elapsed_ms * SLOW_CLOCK_PERMILLE / 1_000;
+        clock_ms + min_elapsed_ms > self.lease_end_max + LEASE_EXPIRY_MARGIN_MS
     }
 
-    /// Ends up to this number may be forgotten by the worker.
-    pub fn forget(&self) -> u64 {
-        self.non_durable_ends.first().map_or(self.taken_in, |first| first - 1)
+    /// The highest number up to which the worker may forget ended runs.
+    pub fn last_durable_end(&self) -> u64 {
+        self.non_durable_ends.first().map_or(self.last_processed_end, |first| first - 1)
     }
 
-    /// The rack, which is the last of the labels.
+    /// The rack, which is the last label; `None` if there is no label but the first one,
+    /// the kind.
     pub fn rack(&self) -> Option<&str> {
         self.info.labels.get(1..)?.last().map(String::as_str)
     }
 
-    /// Takes note of a run that did well.
+    /// Records a successful run, which ends the suspicion against the worker.
     pub fn record_success(&mut self) {
         self.failures = 0;
         self.quarantines = 0;
     }
 
-    /// Takes note of a run that failed or stood still; tells whether the worker is left alone now.
+    /// Records a failed or stalled run. Returns whether the worker is in quarantine now.
     ///
-    /// A worker that fails all it starts would otherwise be the emptiest one
-    /// and use up the attempts of job after job.
+    /// Without quarantine a worker on which all runs fail would be the emptiest one and use
+    /// up the attempts of job after job.
     pub fn record_failure(&mut self, now_ms: u64, weight: u32) -> bool {
         self.failures += weight;
         if self.failures < FAILURES_MAX {
--- a/crates/pool/tests/lines.rs
+++ b/crates/pool/tests/lines.rs
@@ -103,10 +103,10 @@
         world.run(9_000);
     });
     assert_fields(&lines, "worker listed", &["worker", "address"]);
-    assert_fields(&lines, "worker held", &["worker", "active", "ended"]);
-    assert_fields(&lines, "hold not answered", &["worker", "error", "tasks"]);
+    assert_fields(&lines, "hold established", &["worker", "active", "ended"]);
+    assert_fields(&lines, "hold failed", &["worker", "error", "tasks"]);
     assert_fields(&lines, "start in doubt", &["task", "run", "worker", "reply"]);
-    assert_fields(&lines, "worker began a new life", &["worker", "life"]);
-    assert_fields(&lines, "lease of a silent worker has lapsed", &["worker"]);
+    assert_fields(&lines, "worker restarted", &["worker", "life"]);
+    assert_fields(&lines, "lease of an unreachable worker expired", &["worker"]);
     assert_fields(&lines, "run lost with its worker", &["task", "worker"]);
 }
