--- a/crates/pool/src/customers.rs
+++ b/crates/pool/src/customers.rs
@@ -1,9 +1,9 @@
-//! What each customer may take, and what it has.
+//! Caps and weights of customers, and their current usage.
 //!
-//! A customer's cap binds what its tasks take on all workers together. Room that a task
-//! holds counts from the moment it is chosen until the run is known to be gone: a start
-//! in doubt, one that a former scheduler sent, and one that is being stopped all count. So
-//! a cap may be used less than fully after a loss, and is never passed.
+//! A customer's cap limits what its tasks use on all workers together. An allocation counts
+//! from the moment a worker is chosen until the run is known to be gone: starts without a
+//! clear answer, runs started by an earlier scheduler and runs that are being stopped all
+//! count. So a cap may be underused after a failure, but it is never exceeded.
 
 use std::collections::HashMap;
 
@@ -17,84 +17,88 @@
 use crate::choose::Cycle;
 use crate::id::StepId;
 
-/// Jobs that may come at once, in seconds of a customer's weight.
+/// Size of a customer's token bucket for arriving jobs, in seconds of its weight.
 const BURST_S: f64 = 2.0;
 
-/// What a customer may take.
+/// The scheduling limits of a customer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CustomerLimits {
-    /// Its name.
+    /// The customer's name.
     pub name: CustomerName,
-    /// Its share of a full pool, and the jobs a second that it may expect to be served.
+    /// The customer's share of a full pool, and the jobs per second that it may expect to be
+    /// served. Jobs beyond it wait for those of the same priority that other customers send
+    /// within their weights.
     pub weight: f64,
-    /// What its tasks may take on all workers together; 0 of a resource is no limit.
+    /// What the customer's tasks may use on all workers together; 0 means no limit for that
+    /// resource.
     pub cap: Resources,
 }
 
 impl CustomerLimits {
-    /// The limits of a customer of the manifest.
+    /// Copies the limits from a customer's entry in the manifest.
     pub fn of(customer: &Customer) -> Self {
         Self { name: customer.name.clone(), weight: customer.weight, cap: customer.cap }
     }
 }
 
-/// A customer's number in one pool.
+/// The index of a customer in one pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct CustomerId(pub usize);
 
-/// The customers that jobs or the manifest have named.
+/// All customers named in jobs or in the manifest.
 #[derive(Debug, Default)]
 pub(crate) struct Customers {
-    all: Vec<Account>,
-    numbers: HashMap<CustomerName, CustomerId>,
+    accounts: Vec<Account>,
+    ids: HashMap<CustomerName, CustomerId>,
 }
 
-/// One customer.
+/// The limits of one customer and its token bucket for arriving jobs.
 #[derive(Debug)]
 pub(crate) struct Account {
     pub limits: CustomerLimits,
-    /// Jobs that may come now within the weight, and when that was worked out.
+    /// The jobs that may arrive now within the weight.
     allowance: f64,
-    counted_unix_ms: u64,
+    /// When the allowance was last refilled.
+    refilled_unix_ms: u64,
 }
 
 impl Account {
     fn new(limits: CustomerLimits) -> Self {
         let allowance = limits.weight * BURST_S;
-        Self { limits, allowance, counted_unix_ms: 0 }
+        Self { limits, allowance, refilled_unix_ms: 0 }
     }
 }
 
 impl Customers {
-    /// Takes the limits of the manifest. A customer that it no longer names keeps its
-    /// last ones: what was accepted of its jobs still runs.
+    /// Updates the limits from the manifest. A customer that is no longer named there keeps
+    /// its last limits, since its accepted jobs still run.
     pub fn update(&mut self, limits: Vec<CustomerLimits>) {
         for limits in limits {
             let id = self.id_of(&limits);
-            self.all[id.0].limits = limits;
+            self.accounts[id.0].limits = limits;
         }
     }
 
-    /// The number of a customer; an unknown one gets its limits from its job.
+    /// The index of a customer. An unknown customer is added with the given limits.
     pub fn id_of(&mut self, limits: &CustomerLimits) -> CustomerId {
-        if let Some(id) = self.numbers.get(&limits.name) {
+        if let Some(id) = self.ids.get(&limits.name) {
             return *id;
         }
-        let id = CustomerId(self.all.len());
-        self.all.push(Account::new(limits.clone()));
-        self.numbers.insert(limits.name.clone(), id);
+        let id = CustomerId(self.accounts.len());
+        self.accounts.push(Account::new(limits.clone()));
+        self.ids.insert(limits.name.clone(), id);
         id
     }
 
-    /// Counts a job that was accepted at a moment; tells whether it is within the
-    /// customer's weight. A weight of 0 allows nothing within.
-    pub fn note_arrival(&mut self, id: CustomerId, at_unix_ms: u64) -> bool {
-        let account = &mut self.all[id.0];
+    /// Counts a job accepted at `accepted_unix_ms` and returns whether it is within the
+    /// customer's weight. With a weight of 0 no job is.
+    pub fn note_arrival(&mut self, id: CustomerId, accepted_unix_ms: u64) -> bool {
+        let account = &mut self.accounts[id.0];
         let weight = account.limits.weight;
-        let passed_ms = at_unix_ms.saturating_sub(account.counted_unix_ms);
-        let earned = weight * passed_ms as f64 / 1_000.0;
-        account.allowance = (account.allowance + earned).min(weight * BURST_S);
-        account.counted_unix_ms = account.counted_unix_ms.max(at_unix_ms);
+        let elapsed_ms = accepted_unix_ms.saturating_sub(account.refilled_unix_ms);
+        let refill = weight * elapsed_ms as f64 / 1_000.0;
+        account.allowance = (account.allowance + refill).min(weight * BURST_S);
+        account.refilled_unix_ms = account.refilled_unix_ms.max(accepted_unix_ms);
         if account.allowance < 1.0 {
             return false;
         }
@@ -102,24 +106,24 @@
         true
     }
 
-    /// A customer.
     pub fn get(&self, id: CustomerId) -> &Account {
-        &self.all[id.0]
+        &self.accounts[id.0]
     }
 
-    /// The limits of all, by their numbers.
+    /// The limits of all customers, in the order of their indices.
     pub fn limits(&self) -> impl Iterator<Item = &CustomerLimits> {
-        self.all.iter().map(|account| &account.limits)
+        self.accounts.iter().map(|account| &account.limits)
     }
 
-    /// How many there are.
+    /// The number of customers.
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.accounts.len()
     }
 }
 
 impl Pool {
-    /// How many more tasks of this demand a customer may have beside what it has.
+    /// How many more tasks of this demand fit under a customer's cap, given the usage of all
+    /// customers. Without a customer there is no limit.
     pub(crate) fn tasks_under_cap(
         &self,
         customer: Option<CustomerId>,
@@ -128,52 +132,53 @@
     ) -> u64 {
         let Some(id) = customer else { return u64::MAX };
         let used = used.get(id.0).copied().unwrap_or_default();
-        left(&self.customers.get(id).limits.cap, &used).times_held(demand)
+        remaining(&self.customers.get(id).limits.cap, &used).times_held(demand)
     }
 
-    /// Whether a gang waits for its customer's cap.
+    /// Whether a gang waits because of its customer's cap.
     pub(crate) fn awaits_cap(&self, step: StepId, unit: usize) -> bool {
         self.jobs.get(&step.job).is_some_and(|job| job.units[unit].awaits_cap)
     }
 
-    /// Takes note of whether a gang waits for its customer's cap.
+    /// Sets whether a gang waits because of its customer's cap.
     pub(crate) fn set_awaits_cap(&mut self, step: StepId, unit: usize, awaits_cap: bool) {
         if let Some(job) = self.jobs.get_mut(&step.job) {
             job.units[unit].awaits_cap = awaits_cap;
         }
     }
 
-    /// Keeps what a waiting gang needs of its customer's cap from the customer's work that
-    /// comes after it, which would otherwise take each bit of the cap as it comes free.
+    /// Reserves what a waiting gang needs of its customer's cap against later work of the
+    /// same customer, which would otherwise take each bit of the cap as it comes free.
     pub(crate) fn reserve_cap(&self, step: StepId, unit: usize, cycle: &mut Cycle) {
         let Some(job) = self.jobs.get(&step.job) else { return };
         let Some(customer) = job.customer else { return };
-        let need = job.step(unit).demand.times(job.units[unit].tasks.len() as u64);
+        let demand = job.step(unit).demand.times(job.units[unit].tasks.len() as u64);
         let used = &mut cycle.customers[customer.0];
-        // A gang wider than the cap would keep all of it for ever.
-        if left(&self.customers.get(customer).limits.cap, &Resources::ZERO).holds(&need) {
-            *used = used.plus(&need);
+        // A gang that exceeds the whole cap would reserve all of it for ever.
+        if remaining(&self.customers.get(customer).limits.cap, &Resources::ZERO).holds(&demand) {
+            *used = used.plus(&demand);
         }
     }
 
-    /// What each customer has on all workers, by its number.
+    /// What each customer uses on all workers, by [`CustomerId`].
     pub(crate) fn customer_usage(&self) -> Vec<Resources> {
         let mut used = vec![Resources::ZERO; self.customers.len()];
         for worker in self.workers.values() {
-            for (id, taken) in &worker.by_customer {
-                used[id.0] = used[id.0].plus(taken);
+            for (id, worker_usage) in &worker.by_customer {
+                used[id.0] = used[id.0].plus(worker_usage);
             }
         }
         used
     }
 }
 
-/// What is left of a cap; a resource without one has no end.
-fn left(cap: &Resources, used: &Resources) -> Resources {
-    let left = |cap: u64, used: u64| if cap == 0 { u64::MAX } else { cap.saturating_sub(used) };
+/// What remains of a cap; unlimited for a resource whose cap is 0.
+fn remaining(cap: &Resources, used: &Resources) -> Resources {
+    let remaining =
+        |cap: u64, used: u64| if cap == 0 { u64::MAX } else { cap.saturating_sub(used) };
     Resources {
-        cpu_millis: left(cap.cpu_millis, used.cpu_millis),
-        memory_bytes: left(cap.memory_bytes, used.memory_bytes),
-        accelerators: left(cap.accelerators, used.accelerators),
+        cpu_millis: remaining(cap.cpu_millis, used.cpu_millis),
+        memory_bytes: remaining(cap.memory_bytes, used.memory_bytes),
+        accelerators: remaining(cap.accelerators, used.accelerators),
     }
 }
--- a/crates/pool/src/pace.rs
+++ b/crates/pool/src/pace.rs
@@ -1,9 +1,10 @@
-//! Tasks that fill make way for tasks that serve.
+//! Throttling of best-effort tasks in favor of latency-sensitive ones.
 //!
-//! Tasks that fill use processors that others leave, and disturb those that serve
-//! users on the same worker by amounts that nobody declares; only the response times
-//! that the worker reports show it. Where they come near what their users expect, the
-//! fillers there are slowed at once, and let go again a step at a time.
+//! Best-effort tasks ([`StepSpec::fills`](crate::StepSpec::fills)) use processor time that
+//! others leave. They slow down tasks that serve users on the same worker, by an amount
+//! that no specification states; only the response times that the worker reports show it.
+//! When these come close to the response time target, the pace of the best-effort tasks on
+//! that worker is cut at once and raised again in small steps.
 
 use stoatwell_model::WorkerId;
 
@@ -16,21 +17,24 @@
 use crate::runs::callee;
 use crate::worker::FULL_PACE;
 
-/// Response times above this share, in hundredths, of what is expected slow the
-/// fillers: reports are half a second old, and a user must not notice first.
-const TIGHT_PERCENT: u64 = 85;
-/// Below this share they are let go a step.
-const EASY_PERCENT: u64 = 60;
-/// The first slowing; the next one stops them. Two reports, a second, are enough.
-const SLOWED_PACE: u32 = 30;
-/// A step up, and how long each has to prove harmless.
-const STEP_PACE: u32 = 20;
-const STEP_EVERY_MS: u64 = 1_500;
+/// Response time in percent of its target above which the pace is cut. Reports are half a
+/// second old, and users must not notice a slowdown first.
+const THROTTLE_ABOVE_PERCENT: u64 = 85;
+/// Response time in percent of its target below which the pace is raised.
+const RAISE_BELOW_PERCENT: u64 = 60;
+/// The pace after the first cut, in percent; the second one stops the tasks. This takes two
+/// reports, which is a second.
+const THROTTLED_PACE: u32 = 30;
+/// How much the pace is raised at a time, in percent.
+const PACE_INCREMENT: u32 = 20;
+/// How long each raise has to prove harmless before the next one.
+const RAISE_INTERVAL_MS: u64 = 1_500;
 
 impl Pool {
-    /// Sets the pace of the fillers on a worker by what its serving tasks report.
+    /// Sets the pace of the best-effort tasks on a worker from the response times that the
+    /// latency-sensitive tasks there report.
     pub(crate) fn throttle_best_effort(&mut self, name: &WorkerId, reply: &HoldReply) {
-        let mut fillers: Vec<(TaskId, u32)> = Vec::new();
+        let mut best_effort: Vec<(TaskId, u32)> = Vec::new();
         let mut tightest_percent = 0;
         for active in &reply.active {
             let id = active.task;
@@ -40,37 +44,38 @@
             let Some(unit) = job.unit_of(id.step) else { continue };
             let step = job.step(unit);
             if step.fills {
-                fillers.push((id, active.run));
+                best_effort.push((id, active.run));
             }
             if let Some(target_ms) = step.response_target_ms.filter(|ms| *ms > 0) {
                 tightest_percent = tightest_percent.max(active.load * 100 / target_ms);
             }
         }
-        if fillers.is_empty() {
+        if best_effort.is_empty() {
             return;
         }
         let now_ms = self.now_ms;
         let Some(worker) = self.workers.get_mut(name) else { return };
         let before = worker.pace_percent;
-        if tightest_percent > TIGHT_PERCENT {
-            worker.pace_percent = if before > SLOWED_PACE { SLOWED_PACE } else { 0 };
-        } else if tightest_percent < EASY_PERCENT
-            && worker.pace_changed_ms + STEP_EVERY_MS <= now_ms
+        if tightest_percent > THROTTLE_ABOVE_PERCENT {
+            worker.pace_percent = if before > THROTTLED_PACE { THROTTLED_PACE } else { 0 };
+        } else if tightest_percent < RAISE_BELOW_PERCENT
+            && worker.pace_changed_ms + RAISE_INTERVAL_MS <= now_ms
         {
-            worker.pace_percent = (before + STEP_PACE).min(FULL_PACE);
+            worker.pace_percent = (before + PACE_INCREMENT).min(FULL_PACE);
         }
         let percent = worker.pace_percent;
         if percent != before {
             worker.pace_changed_ms = now_ms;
-            let fillers = fillers.len();
-            tracing::info!(worker = %name, percent, tightest_percent, fillers, "pace of fillers");
+            let fillers = best_effort.len();
+            tracing::info!(worker = %name, percent, tightest_percent, fillers, "pace of best-effort tasks changed");
         }
-        for (id, run) in fillers {
-            self.pace(name, id, run, percent);
+        for (id, run) in best_effort {
+            self.set_pace(name, id, run, percent);
         }
     }
 
-    fn pace(&mut self, name: &WorkerId, id: TaskId, run: u32, percent: u32) {
+    /// Sends a run's pace to its worker unless the worker already has it.
+    fn set_pace(&mut self, name: &WorkerId, id: TaskId, run: u32, percent: u32) {
         let Some(task) = self.task_at(id, run, name) else { return };
         if task.pace_percent.unwrap_or(FULL_PACE) == percent {
             return;
@@ -80,8 +85,8 @@
         self.effects.push(Effect::Pace(PaceCall { to, task: id, run, percent }));
     }
 
-    /// An order without answer may have been carried out or not: it is given again
-    /// with the next report.
+    /// Handles the answer to a pace call. A failed call may have taken effect or not, so it is
+    /// repeated with the next report.
     pub(crate) fn on_paced(
         &mut self,
         id: TaskId,
@@ -90,9 +95,9 @@
         reply: Result<(), CallError>,
     ) {
         let Err(error) = reply else { return };
-        tracing::warn!(task = %id, run, worker = %from, %error, "pace not set");
+        tracing::warn!(task = %id, run, worker = %from, %error, "setting the pace failed; retrying with the next report");
         let Some(task) = self.task_at(id, run, from) else { return };
-        // No pace that is ever asked for, so that the next report asks again.
+        // A pace that is never requested, so that the next report triggers a new call.
         task.pace_percent = Some(FULL_PACE + 1);
     }
 }
--- a/crates/pool/src/reserve.rs
+++ b/crates/pool/src/reserve.rs
@@ -1,11 +1,14 @@
-//! Workers that are kept for a waiting gang.
+//! Reservation of workers for waiting gangs.
 //!
-//! A gang needs all its places at one moment, and work that needs less would take
-//! each bit of room as it comes free. So workers are kept from work of its rank and
-//! below: those on which, by what their tasks have left to do, the places come free
-//! first. To keep whole workers until they are empty costs several times as much
-//! idle room and the gang waits for the longest task on them. Until the last place is
-//! free, the others are open to work that is over by then.
+//! A gang needs capacity for all its tasks at one moment, and smaller work would take each
+//! bit of capacity as it comes free. So workers are reserved, which excludes work of the
+//! same and of lower priority: those workers where, by the remaining time of their tasks,
+//! enough capacity comes free first. Reserving whole workers until they are empty would
+//! leave several times as much capacity idle, and the gang would wait for the longest task
+//! on them. Until capacity for the last task is free, the reserved workers still accept
+//! work that ends by then.
+//!
+//! A place is free capacity for one task of the gang.
 
 use stoatwell_model::Resources;
 
@@ -18,66 +21,67 @@
 use crate::id::TaskId;
 use crate::worker::Slot;
 
-/// A gang that needs less than this share, in hundredths, of the places that its workers
-/// have while empty finds them free at one moment soon enough without a reservation.
-const RESERVING_PERCENT: u64 = 30;
-/// Which workers are kept is worked out again after this; it means a look at all
-/// tasks on all workers that the gang may use.
-const RESERVE_ANEW_MS: u64 = 300;
-/// Progress below this tells little of the time that is left.
-const PERCENT_MIN: u64 = 10;
-/// A task that is over its time has this much left, for all one knows.
+/// Percentage of the places on empty eligible workers below which a gang needs no
+/// reservation: it finds that many places free at one moment soon enough.
+const RESERVATION_MIN_PERCENT: u64 = 30;
+/// How long a choice of workers is kept. Choosing anew goes through all tasks on all
+/// workers that the gang may use.
+const RESERVATION_REFRESH_MS: u64 = 300;
+/// Progress below which the remaining time cannot be derived from it.
+const PROGRESS_MIN_PERCENT: u64 = 10;
+/// Assumed remaining time of a task that has exceeded its expected duration.
 const OVERDUE_MS: u64 = 300;
 
 impl Pool {
-    /// Keeps workers for a waiting gang, `most` at most; gives how many.
+    /// Reserves at most `workers_max` workers for a waiting gang. Returns how many.
     pub(crate) fn reserve_workers(
         &mut self,
         step: StepId,
         unit: usize,
         priority: u32,
         cycle: &mut Cycle,
-        most: usize,
+        workers_max: usize,
     ) -> usize {
-        if most == 0 {
+        if workers_max == 0 {
             return 0;
         }
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get(&step.job) else { return 0 };
-        if now_ms < job.units[unit].reserved_ms + RESERVE_ANEW_MS {
-            return self.renew_reservation(step, unit, priority, cycle, most);
+        if now_ms < job.units[unit].reserved_ms + RESERVATION_REFRESH_MS {
+            return self.renew_reservation(step, unit, priority, cycle, workers_max);
         }
         let spec = job.step(unit);
-        let need = spec.worker_demand();
-        let wanted = job.units[unit].tasks.len();
-        // When each place comes free, and on which worker.
-        let mut coming: Vec<(u64, usize)> = Vec::new();
-        let allowed = self.eligible_workers(step, unit, spec, cycle);
-        let empty = |one: &EligibleWorker| places_in(&cycle.workers[one.index].capacity, &need);
-        let places: u64 = allowed.iter().map(empty).sum();
-        if wanted as u64 * 100 < places * RESERVING_PERCENT {
+        let demand = spec.worker_demand();
+        let tasks = job.units[unit].tasks.len();
+        // For each place, in how long it comes free and the index of its worker.
+        let mut places: Vec<(u64, usize)> = Vec::new();
+        let eligible = self.eligible_workers(step, unit, spec, cycle);
+        let places_when_empty =
+            |worker: &EligibleWorker| places_in(&cycle.workers[worker.index].capacity, &demand);
+        let total_places: u64 = eligible.iter().map(places_when_empty).sum();
+        if tasks as u64 * 100 < total_places * RESERVATION_MIN_PERCENT {
             return 0;
         }
-        for one in allowed {
-            if !cycle.workers[one.index].admits(step, priority) {
+        for worker in eligible {
+            if !cycle.workers[worker.index].admits(step, priority) {
                 continue;
             }
-            let times_ms = self.places_ms(cycle.workers[one.index].slot, &need);
-            coming.extend(times_ms.into_iter().map(|left_ms| (left_ms, one.index)));
+            let free_in_ms = self.places_free_in_ms(cycle.workers[worker.index].slot, &demand);
+            places.extend(free_in_ms.into_iter().map(|wait_ms| (wait_ms, worker.index)));
         }
-        coming.sort_unstable();
-        coming.truncate(wanted);
-        let until_ms = now_ms + coming.last().map_or(0, |(left_ms, _)| *left_ms);
+        places.sort_unstable();
+        places.truncate(tasks);
+        let until_ms = now_ms + places.last().map_or(0, |(wait_ms, _)| *wait_ms);
         let mut slots: Vec<Slot> = Vec::new();
-        for (_, at) in coming {
-            if cycle.workers[at].reserved_for.is_some_and(|reserved| reserved.step == step) {
+        for (_, index) in places {
+            if cycle.workers[index].reserved_for.is_some_and(|reserved| reserved.step == step) {
                 continue;
             }
-            if slots.len() >= most {
+            if slots.len() >= workers_max {
                 break;
             }
-            cycle.workers[at].reserved_for = Some(Reservation { priority, step, until_ms });
-            slots.push(cycle.workers[at].slot);
+            cycle.workers[index].reserved_for = Some(Reservation { priority, step, until_ms });
+            slots.push(cycle.workers[index].slot);
         }
         let reserved = slots.len();
         if let Some(job) = self.jobs.get_mut(&step.job) {
@@ -88,68 +92,70 @@
         reserved
     }
 
-    /// Keeps the workers for a waiting gang that were kept at its last look.
+    /// Reserves the workers for a waiting gang that were last chosen for it, at most
+    /// `workers_max`. Returns how many.
     pub(crate) fn renew_reservation(
         &self,
         step: StepId,
         unit: usize,
         priority: u32,
         cycle: &mut Cycle,
-        most: usize,
+        workers_max: usize,
     ) -> usize {
         let Some(job) = self.jobs.get(&step.job) else { return 0 };
         let mut reserved = 0;
         let until_ms = job.units[unit].reserved_until_ms;
-        for slot in job.units[unit].reserved.iter().take(most) {
-            let Some(at) = cycle.index_of(*slot) else { continue };
-            if cycle.workers[at].admits(step, priority) {
-                cycle.workers[at].reserved_for = Some(Reservation { priority, step, until_ms });
+        for slot in job.units[unit].reserved.iter().take(workers_max) {
+            let Some(index) = cycle.index_of(*slot) else { continue };
+            if cycle.workers[index].admits(step, priority) {
+                cycle.workers[index].reserved_for = Some(Reservation { priority, step, until_ms });
                 reserved += 1;
             }
         }
         reserved
     }
 
-    /// Keeps no worker for a gang that could not start now if all were free.
+    /// Drops the reservation of a gang that could not start now even if all workers were
+    /// free.
     pub(crate) fn drop_reservation(&mut self, step: StepId, unit: usize) {
         if let Some(job) = self.jobs.get_mut(&step.job) {
             job.units[unit].reserved.clear();
         }
     }
 
-    /// In how long each place for a task of this need comes free on a worker, if
-    /// nothing else goes there; 0 for those that are free now.
-    fn places_ms(&self, slot: Slot, need: &Resources) -> Vec<u64> {
+    /// In how long each place on a worker comes free if no further tasks go there; 0 for
+    /// those that are free now.
+    fn places_free_in_ms(&self, slot: Slot, demand: &Resources) -> Vec<u64> {
         let Some(worker) = self.worker_at(slot) else { return Vec::new() };
         let mut ends: Vec<(u64, &Resources)> = worker
             .tasks
             .iter()
-            .map(|(id, taken)| (self.left_ms(*id), &taken.worker_demand))
+            .map(|(id, allocation)| (self.remaining_ms(*id), &allocation.worker_demand))
             .collect();
-        ends.sort_unstable_by_key(|(left_ms, _)| *left_ms);
+        ends.sort_unstable_by_key(|(remaining_ms, _)| *remaining_ms);
         let mut free = worker.free();
-        let mut times_ms = vec![0; places_in(&free, need) as usize];
-        for (left_ms, room) in ends {
-            free = free.plus(room);
-            times_ms.resize(places_in(&free, need) as usize, left_ms);
+        let mut free_in_ms = vec![0; places_in(&free, demand) as usize];
+        for (remaining_ms, released) in ends {
+            free = free.plus(released);
+            free_in_ms.resize(places_in(&free, demand) as usize, remaining_ms);
         }
-        times_ms
+        free_in_ms
     }
 
-    /// How long a task that has room somewhere will go on, by its progress or by
-    /// what its like take.
-    fn left_ms(&self, id: TaskId) -> u64 {
+    /// Estimates the remaining time of a placed task, from its progress if there is enough of
+    /// it, else from its expected duration.
+    fn remaining_ms(&self, id: TaskId) -> u64 {
         let Some(job) = self.jobs.get(&id.step.job).filter(|job| job.outcome.is_none()) else {
             return OVERDUE_MS;
         };
         let Some(unit) = job.unit_of(id.step) else { return OVERDUE_MS };
         let Some(task) = job.units[unit].tasks.get(id.index as usize) else { return OVERDUE_MS };
         let began_ms = if task.began_ms == 0 { self.now_ms } else { task.began_ms };
-        let had_ms = self.now_ms.saturating_sub(began_ms);
+        let elapsed_ms = self.now_ms.saturating_sub(began_ms);
         let percent = u64::from(task.percent.min(100));
-        if percent >= PERCENT_MIN {
-            return had_ms * (100 - percent) / percent;
+        if percent >= PROGRESS_MIN_PERCENT {
+            return elapsed_ms * (100 - percent) / percent;
         }
-        self.expected_task_ms(id.step).saturating_sub(had_ms).max(OVERDUE_MS)
+        self.expected_task_ms(id.step).saturating_sub(elapsed_ms).max(OVERDUE_MS)
     }
 }
--- a/crates/pool/src/spec.rs
+++ b/crates/pool/src/spec.rs
@@ -1,4 +1,4 @@
-//! What a caller submits: steps of tasks, and the rules of the queue.
+//! The specification of a submitted job: its steps and the settings of its queue.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,59 +6,61 @@
 
 use crate::customers::CustomerLimits;
 
-/// Largest number of tasks in all steps and occurrences of one job; keeps a
-/// job's record inside one row of the store.
+/// Largest number of tasks in all steps and occurrences of one job. It keeps the record of
+/// a job within one row of the store.
 pub const TASKS_MAX: u64 = 2_000;
-/// Longest payload, in bytes.
+/// Largest payload of a job, in bytes.
 pub const PAYLOAD_BYTES_MAX: usize = 4_000;
 
-/// A job as it was accepted, with the rules that its queue had then.
+/// A job as it was accepted, with the settings of its queue at that time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The queue's rules.
+    /// The queue's settings when the job was accepted.
     pub queue: QueueSpec,
-    /// Whose it is, with the limits that the customer had then.
+    /// The customer that owns the job, with its limits when the job was accepted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub customer: Option<CustomerLimits>,
-    /// What to run, opaque to us.
+    /// What to run; opaque to the scheduler.
     pub payload: String,
-    /// The steps.
+    /// The steps in an order in which each one depends on earlier ones only.
     pub steps: Vec<StepSpec>,
-    /// When it runs, for a job with due times.
+    /// The due times of a job that runs repeatedly.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeat: Option<Repeat>,
-    /// When it was accepted, in Unix time.
+    /// When the job was accepted, in Unix time.
     pub accepted_unix_ms: u64,
 }
 
-/// The rules of a queue.
+/// The settings of a queue.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QueueSpec {
-    /// Its name.
+    /// The queue's name.
     pub name: String,
-    /// The service whose workers run its tasks.
+    /// The service whose workers run the queue's tasks.
     pub service: String,
-    /// Its rank; 0 goes first.
+    /// The priority of the queue's jobs; 0 is the highest.
     pub priority: u32,
-    /// Failed runs after which a task has failed for good.
+    /// Failed runs of a task after which its job has failed.
     pub attempts_max: u32,
-    /// A job is late this many times its chain of work, and [`Self::target_ms`], after its arrival.
+    /// Multiplied with the critical path of a job to get the part of
+    /// [`JobSpec::allowed_ms`] that depends on its work.
     pub slack_factor: f64,
-    /// What a job may take beyond its work.
+    /// The fixed part of [`JobSpec::allowed_ms`].
     pub target_ms: u64,
-    /// Whether an advisor has to permit each worker.
+    /// The cost of the advisor that has to grant each worker; `None` if the queue needs no
+    /// advisor.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub advice: Option<AdviceSpec>,
 }
 
-/// What the advisor of a queue takes.
+/// The expected cost of queries to a queue's advisor, and the validity of its tickets.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdviceSpec {
-    /// For a call.
+    /// Fixed time of a query.
     pub decide_ms: f64,
-    /// For each worker named in the call.
+    /// Additional time for each worker named in a query.
     pub each_ms: f64,
-    /// How long a ticket is good for.
+    /// How long a ticket is valid.
     pub valid_ms: u64,
 }
 
@@ -67,59 +69,61 @@
 pub struct Repeat {
     /// When the first occurrence is due, in Unix time.
     pub first_unix_ms: u64,
-    /// From one to the next.
+    /// The time from one occurrence to the next.
     pub interval_ms: u64,
-    /// How many there are.
+    /// The number of occurrences.
     pub times: u32,
 }
 
-/// A step: tasks of one kind.
+/// A step of a job: a number of identical tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StepSpec {
-    /// How many tasks.
+    /// The number of tasks.
     pub tasks: u32,
-    /// What one of them needs.
+    /// The resources that one task needs.
     pub demand: Resources,
-    /// How long one takes, roughly.
+    /// The caller's estimate of how long one task runs.
     pub estimate_ms: u64,
-    /// Earlier steps that have to be done first.
+    /// The indices of earlier steps that must be done before this one starts.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub after: Vec<u32>,
-    /// Whether all tasks work only together.
+    /// Whether the tasks form a gang, which only works while all of them run.
     #[serde(skip_serializing_if = "is_false")]
     pub gang: bool,
-    /// Whether tasks on more than one rack take longer.
+    /// Whether the tasks take longer when they are spread over several racks.
     #[serde(skip_serializing_if = "is_false")]
     pub same_rack: bool,
-    /// A label that the worker must have.
+    /// A label that workers must have to run the tasks.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub label: Option<String>,
-    /// The rack where the data lies.
+    /// The rack that holds the input data; workers there are preferred.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub near_rack: Option<String>,
-    /// Most tasks of the step on one worker; 0 is no limit.
+    /// The largest number of tasks of the step on one worker; 0 means no limit.
     #[serde(skip_serializing_if = "is_zero")]
     pub per_worker_max: u32,
-    /// Whether copies may run beside each other.
+    /// Whether several runs of a task may exist at the same time, and the first one that
+    /// succeeds counts.
     #[serde(skip_serializing_if = "is_false")]
     pub speculative: bool,
-    /// Whether tasks run until the job is cancelled.
+    /// Whether the tasks run until the job is cancelled.
     #[serde(skip_serializing_if = "is_false")]
     pub long_running: bool,
-    /// Whether tasks save their progress.
+    /// Whether the tasks save checkpoints, from which a later run continues.
     #[serde(skip_serializing_if = "is_false")]
     pub checkpoints: bool,
-    /// Whether tasks run on processors that others leave unused.
+    /// Whether the tasks are best-effort: they run on CPU time that other tasks leave unused
+    /// and reserve none.
     #[serde(skip_serializing_if = "is_false")]
     pub fills: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// The image that the tasks run; tasks of the same image behave alike.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub image: Option<String>,
-    /// The response time that a serving task's own users expect.
+    /// For tasks that serve users, the response time that these expect.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub response_target_ms: Option<u64>,
-    /// Tasks that may be away at one time because of us.
+    /// How many tasks may be down at the same time because of the scheduler.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub away_max: Option<u32>,
 }
@@ -142,7 +146,7 @@
 impl std::error::Error for SpecError {}
 
 impl JobSpec {
-    /// Finds the first mistake that makes the job impossible to run.
+    /// Returns the first problem that makes the job impossible to run.
     pub fn check(&self) -> Result<(), SpecError> {
         if self.payload.len() > PAYLOAD_BYTES_MAX {
             return Err(SpecError::PayloadTooLong);
@@ -151,12 +155,12 @@
             return Err(SpecError::NoSteps);
         }
         let mut tasks = 0_u64;
-        for (number, step) in self.steps.iter().enumerate() {
+        for (index, step) in self.steps.iter().enumerate() {
             if step.tasks == 0 {
-                return Err(SpecError::NoTasks(number));
+                return Err(SpecError::NoTasks(index));
             }
-            if step.after.iter().any(|earlier| *earlier as usize >= number) {
-                return Err(SpecError::LaterStep(number));
+            if step.after.iter().any(|dependency| *dependency as usize >= index) {
+                return Err(SpecError::LaterStep(index));
             }
             tasks += u64::from(step.tasks);
         }
@@ -166,35 +170,38 @@
         Ok(())
     }
 
-    /// How often the steps run.
+    /// The number of times that the steps run, at least 1.
     pub fn occurrences(&self) -> u32 {
         self.repeat.map_or(1, |repeat| repeat.times.max(1))
     }
 
-    /// When an occurrence is due, in Unix time; 0 is at once.
+    /// When an occurrence is due, in Unix time; 0 means immediately.
     pub fn due_unix_ms(&self, occurrence: u32) -> u64 {
         let Some(repeat) = self.repeat else { return 0 };
         repeat.first_unix_ms + u64::from(occurrence) * repeat.interval_ms
     }
 
-    /// The longest chain of estimated work.
+    /// The estimated duration of the longest chain of dependent steps.
     pub fn critical_path_ms(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
-            let before = step.after.iter().filter_map(|earlier| ends.get(*earlier as usize));
-            ends.push(before.max().copied().unwrap_or(0) + step.estimate_ms);
+            let dependencies =
+                step.after.iter().filter_map(|dependency| ends.get(*dependency as usize));
+            ends.push(dependencies.max().copied().unwrap_or(0) + step.estimate_ms);
         }
         ends.into_iter().max().unwrap_or(0)
     }
 
-    /// How long after its arrival or due time the job is late.
+    /// The time after its arrival, or after the due time of an occurrence, from which on the
+    /// job is late.
     pub fn allowed_ms(&self) -> u64 {
         self.queue.target_ms + (self.queue.slack_factor * self.critical_path_ms() as f64) as u64
     }
 }
 
 impl StepSpec {
-    /// What one task takes from a worker's room.
+    /// The resources that one task takes from its worker's capacity: its demand, without the
+    /// CPU for best-effort tasks.
     pub fn worker_demand(&self) -> Resources {
         if self.fills {
             return Resources { cpu_millis: 0, ..self.demand };
--- a/crates/pool/src/stalled.rs
+++ b/crates/pool/src/stalled.rs
@@ -1,87 +1,86 @@
-//! Runs that make no progress, and calls that brought no answer.
+//! Detection of runs without progress, and of starts and stops without an answer.
 
 use crate::Pool;
 use crate::id::TaskId;
 use crate::job::Phase;
 use crate::job::Task;
 
-/// A stop that was not answered is sent again after this; a few round trips.
-const STOP_AGAIN_MS: u64 = 600;
-/// A start whose answer never came, not even as a failed call, is in doubt after this;
-/// callers give up well before.
+/// Time after which an unanswered stop is sent again; a few round trips.
+const STOP_RETRY_MS: u64 = 600;
+/// Time after which a start counts as lost although neither an answer nor an error has
+/// arrived. The caller's own timeout is well below this.
 const START_LOST_MS: u64 = 4_000;
-/// A task whose progress did not move for this long stands still. Holds show it
-/// twice a second, so one answer may be missing.
+/// Time without progress after which a task counts as stalled. Holds report progress twice
+/// a second, so one answer may be missing.
 const STALL_MS: u64 = 1_100;
-/// ... or for this share, in hundredths, of what it was estimated to take:
-/// progress comes in hundredths, so that tasks of minutes may show none for long.
+/// The same in percent of the task's estimated duration; the longer one applies. Progress
+/// is reported in percent, so tasks of several minutes may show none for a long time.
 const STALL_PERCENT: u64 = 5;
-/// The members of a gang begin at different moments; it may stand still for
-/// this much longer.
+/// Added for gangs, whose members start at different times.
 const GANG_STALL_MS: u64 = 1_500;
 
 impl Pool {
-    /// Stops without answer are sent again; tasks that stand still are moved.
+    /// Repeats unanswered stops, and stops runs whose start was lost or that have stalled.
     ///
-    /// A worker can keep its lease and answer holds while its tasks make no
-    /// progress; only the progress they show tells. Without this check their
-    /// jobs would never end.
+    /// A worker can renew its lease and answer holds while its tasks make no progress. Only
+    /// the reported progress shows this; without this check such jobs would never end.
     pub(crate) fn sweep_runs(&mut self) {
-        let mut again = Vec::new();
-        let mut still = Vec::new();
-        let mut lost = Vec::new();
+        let mut unanswered_stops = Vec::new();
+        let mut stalled = Vec::new();
+        let mut lost_starts = Vec::new();
         for job in self.jobs.values() {
             if job.outcome.is_some() && !job.is_anywhere() {
                 continue;
             }
-            for (number, unit) in job.units.iter().enumerate() {
+            for (unit_index, unit) in job.units.iter().enumerate() {
                 if unit.tasks.iter().all(|task| task.worker.is_none()) {
                     continue;
                 }
-                let step = job.step(number);
+                let step = job.step(unit_index);
                 let gang_ms = if step.gang { GANG_STALL_MS } else { 0 };
                 let stall_ms = STALL_MS.max(step.estimate_ms * STALL_PERCENT / 100) + gang_ms;
-                // A gang's member that is through waits for the others to end.
+                // A finished member of a gang shows no progress while it waits for the others,
+                // so the latest progress of any member counts.
                 let gang_moved_ms = unit.tasks.iter().map(|task| task.moved_ms).max().unwrap_or(0);
                 for (index, task) in unit.tasks.iter().enumerate() {
                     let id = TaskId { step: unit.id, index: index as u32 };
                     let moved_ms = if step.gang { gang_moved_ms } else { task.moved_ms };
                     match task.phase {
                         Phase::Stopping { answered_turn: None, sent_ms }
-                            if sent_ms + STOP_AGAIN_MS < self.now_ms =>
+                            if sent_ms + STOP_RETRY_MS < self.now_ms =>
                         {
-                            again.push(id);
+                            unanswered_stops.push(id);
                         }
-                        Phase::Sent if self.is_start_lost(task) => lost.push(id),
+                        Phase::Sent if self.is_start_lost(task) => lost_starts.push(id),
                         Phase::Running { .. }
                             if !step.long_running
                                 && !task.is_slowed()
                                 && moved_ms + stall_ms < self.now_ms =>
                         {
-                            still.push(id);
+                            stalled.push(id);
                         }
                         _ => {}
                     }
                 }
             }
         }
-        for id in again {
+        for id in unanswered_stops {
             let now_ms = self.now_ms;
             if let Some(task) = self.jobs.get_mut(&id.step.job).and_then(|job| job.task_mut(id)) {
                 task.phase = Phase::Stopping { answered_turn: None, sent_ms: now_ms };
             }
             self.send_stop(id);
         }
-        for id in lost {
-            tracing::error!(task = %id, "no answer to a start came, not even a failed call");
+        for id in lost_starts {
+            tracing::error!(task = %id, "start brought neither an answer nor an error; stopping the run");
             self.stop(id);
         }
-        for id in still {
+        for id in stalled {
             self.move_stalled(id);
         }
     }
 
-    /// Whether the answer to a start must have come by now.
+    /// Whether a start is unanswered for so long that its answer must have been lost.
     pub(crate) fn is_start_lost(&self, task: &Task) -> bool {
         task.phase == Phase::Sent && task.moved_ms + START_LOST_MS < self.now_ms
     }
@@ -96,18 +95,18 @@
         }
         let Some(name) = task.worker.clone() else { return };
         let Some(worker) = self.workers.get_mut(&name) else { return };
-        // Only answers prove that it is the task that stands still and not the link.
+        // Only later answers of the worker prove that the task has stalled and not the link.
         if worker.answered_ms < task.moved_ms.max(task.placed_ms) + STALL_MS {
             return;
         }
         if gang {
-            // Any member's worker may be the one that holds all of them up.
+            // The worker of any other member may be the one that delays all of them.
             worker.failures = worker.failures.max(1);
         } else {
             worker.record_failure(now_ms, 2);
         }
         let percent = task.percent;
-        tracing::warn!(task = %id, worker = %name, percent, "task stands still, moved away");
+        tracing::warn!(task = %id, worker = %name, percent, "task makes no progress; stopping the run");
         self.stop(id);
         self.break_gang(id);
     }
--- a/crates/pool/src/wakeup.rs
+++ b/crates/pool/src/wakeup.rs
@@ -1,8 +1,9 @@
-//! Whether each task that is not done has somebody who will look at it again.
+//! Detection of unfinished tasks that no pending event will advance.
 //!
-//! A task moves on when its unit is in the queue, when an answer comes, or when its row
-//! is durable. One that waits for something that nobody will do keeps its room and its
-//! job for ever, with all workers free, and no other check would notice.
+//! A task advances when a cycle finds its unit in the queue, when an answer arrives, or
+//! when its row becomes durable. A task that waits for something that never happens keeps
+//! its allocation and its job pending for ever, even with all workers free, and no other
+//! check would notice.
 
 use std::collections::BTreeSet;
 
@@ -13,42 +14,44 @@
 use crate::job::Task;
 
 impl Pool {
-    /// Tasks that nobody will look at again, each with the reason.
+    /// Tasks that no pending event will advance, each with the reason.
     pub fn tasks_without_wakeup(&self) -> Vec<String> {
         let queued: BTreeSet<StepId> = self.queue.values().copied().collect();
         let timed: BTreeSet<StepId> = self.timed.iter().map(|(_, step)| *step).collect();
-        let mut found = Vec::new();
+        let mut stuck = Vec::new();
         for job in self.jobs.values().filter(|job| job.outcome.is_none()) {
-            for (number, unit) in job.units.iter().enumerate() {
-                let waits = queued.contains(&unit.id) || timed.contains(&unit.id);
+            for (unit_index, unit) in job.units.iter().enumerate() {
+                let scheduled = queued.contains(&unit.id) || timed.contains(&unit.id);
                 for (index, task) in unit.tasks.iter().enumerate() {
-                    let Some(missing_wakeup) = self.missing_wakeup(job, number, task, waits) else {
+                    let Some(reason) = self.missing_wakeup(job, unit_index, task, scheduled) else {
                         continue;
                     };
-                    found.push(format!("{}.{index}: {missing_wakeup}", unit.id));
+                    stuck.push(format!("{}.{index}: {reason}", unit.id));
                 }
             }
         }
-        found
+        stuck
     }
 
-    /// What a task waits for that nobody will do.
+    /// Why no pending event will advance a task; `None` if one will or none is needed.
     fn missing_wakeup(
         &self,
         job: &Job,
         unit: usize,
         task: &Task,
-        queued: bool,
+        scheduled: bool,
     ) -> Option<&'static str> {
         match task.phase {
-            Phase::Waiting if job.is_ready(unit) && !queued => Some("waits outside the queue"),
+            Phase::Waiting if job.is_ready(unit) && !scheduled => {
+                Some("is ready, but its unit is not in the queue")
+            }
             Phase::Reserved if job.units[unit].advice.questions == 0 => {
-                Some("has room, and nobody asks for its ticket")
+                Some("is reserved, but no advisor query for its ticket is pending")
             }
             Phase::Recorded if !self.commits.holds(job.id) => {
-                Some("has room, and its row is not written")
+                Some("is recorded, but no write of its row is pending")
             }
-            Phase::Sent if self.is_start_lost(task) => Some("was sent, and no answer came"),
+            Phase::Sent if self.is_start_lost(task) => Some("was sent, but not answered in time"),
             _ => None,
         }
     }
