--- a/crates/pool/src/advise.rs
+++ b/crates/pool/src/advise.rs
@@ -109,10 +109,10 @@
     pub(crate) fn on_advised(
         &mut self,
         step: StepId,
-        asked: &[WorkerId],
+        queried: &[WorkerId],
         cost_ms: u64,
         granted: Option<Vec<Grant>>,
-        came_ms: u64,
+        received_ms: u64,
     ) {
         let now_ms = self.now_ms;
         self.questions = self.questions.saturating_sub(1);
@@ -127,17 +127,17 @@
         advice.questions = advice.questions.saturating_sub(1);
         advice.retry_at_ms = 0;
         if let Some(granted) = &granted {
-            self.learned.record_grants(&job.spec.queue.name, asked.len(), granted.len());
+            self.learned.record_grants(&job.spec.queue.name, queried.len(), granted.len());
         }
         match granted {
             None => advice.pause_until_ms = now_ms + RETRY_DELAY_MS,
             Some(granted) => {
-                tracing::debug!(%step, asked = asked.len(), granted = granted.len(), "advisor answered");
+                tracing::debug!(%step, asked = queried.len(), granted = granted.len(), "advisor answered");
                 let slot = |name: &WorkerId| self.workers.get(name).map(|worker| worker.slot);
-                advice.asked.extend(asked.iter().filter_map(slot));
+                advice.asked.extend(queried.iter().filter_map(slot));
                 for grant in granted {
                     let Some(worker) = self.workers.get(&grant.worker) else { continue };
-                    let expires_ms = came_ms.min(now_ms) + rule.valid_ms;
+                    let expires_ms = received_ms.min(now_ms) + rule.valid_ms;
                     let life = worker.info.life;
                     let ticket = Ticket { text: grant.ticket, life, expires_ms };
                     advice.granted.insert(worker.slot, ticket);
--- a/crates/pool/src/spec.rs
+++ b/crates/pool/src/spec.rs
@@ -42,10 +42,10 @@
     pub priority: u32,
     /// Failed runs of a task after which its job has failed.
     pub attempts_max: u32,
-    /// Multiplied with the critical path of a job to get the part of
-    /// [`JobSpec::allowed_ms`] that depends on its work.
+    /// A job is late once this many times its critical path, plus [`Self::target_ms`], have
+    /// passed since its arrival.
     pub slack_factor: f64,
-    /// The fixed part of [`JobSpec::allowed_ms`].
+    /// The time that a job may take in addition to its work.
     pub target_ms: u64,
     /// The cost of the advisor that has to grant each worker; `None` if the queue needs no
     /// advisor.
