--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -60,11 +60,12 @@
     /// The turn in which the current incarnation was discovered; 0 for the first one.
     pub incarnation_turn: u64,
     /// The time on the worker's clock and the local time of the answer that reported it;
-    /// `None` if no hold has been answered.
+    /// `None` until a hold of the current incarnation has been answered.
     pub clock: Option<(u64, u64)>,
     /// The latest lease end that was ever granted, on the worker's clock.
     pub lease_end_max: u64,
-    /// When every lease of an earlier scheduler has certainly expired.
+    /// When every lease of an earlier scheduler, and every request that was in flight during
+    /// a restart, has certainly expired. Used while [`Self::clock`] is unknown.
     pub earlier_lease_expiry_ms: u64,
     /// The number of the last ended run that was processed.
     pub last_processed_end: u64,
