--- a/crates/node/src/accept.rs
+++ b/crates/node/src/accept.rs
@@ -22,13 +22,13 @@
 use tokio::time::timeout_at;
 
 use crate::health::StoreHealth;
-use crate::outside::Outside;
-use crate::outside::Row;
-use crate::outside::Shard;
-use crate::outside::StoreError;
-use crate::outside::Table;
-use crate::outside::Transaction;
-use crate::outside::shard;
+use crate::platform::Platform;
+use crate::platform::Row;
+use crate::platform::Shard;
+use crate::platform::StoreError;
+use crate::platform::Table;
+use crate::platform::Transaction;
+use crate::platform::shard;
 
 /// Most items of one transaction: the store takes 100 entries, and a
 /// submission needs two, its row and the condition that there is none yet.
@@ -48,7 +48,7 @@
 
 /// What is to be made durable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Item {
+pub enum WriteRequest {
     /// A job, with its row.
     Submit(JobId, Vec<u8>),
     /// A cancellation.
@@ -57,7 +57,7 @@
 
 #[derive(Debug)]
 struct Waiting {
-    item: Item,
+    item: WriteRequest,
     answer: oneshot::Sender<Accepted>,
     deadline: Instant,
     in_doubt: bool,
@@ -73,7 +73,7 @@
 
 impl Acceptor {
     /// Starts the tasks that write, one for each shard.
-    pub fn start(outside: Arc<impl Outside>, health: Arc<StoreHealth>) -> Self {
+    pub fn start(outside: Arc<impl Platform>, health: Arc<StoreHealth>) -> Self {
         let mut shards = Vec::with_capacity(PARTS);
         for _ in 0..PARTS {
             let (items, queue) = mpsc::channel(WAITING_MAX);
@@ -84,7 +84,7 @@
     }
 
     /// Makes one item durable, or tells that it could not be.
-    pub async fn accept(&self, item: Item, deadline: Instant) -> Accepted {
+    pub async fn accept(&self, item: WriteRequest, deadline: Instant) -> Accepted {
         if self.health.is_down() {
             return Accepted::No;
         }
@@ -105,7 +105,7 @@
 }
 
 async fn write(
-    outside: Arc<impl Outside>,
+    outside: Arc<impl Platform>,
     health: Arc<StoreHealth>,
     mut queue: mpsc::Receiver<Waiting>,
 ) {
@@ -126,7 +126,7 @@
             let answered = timeout(write_timeout, outside.transact(&write)).await;
             answered.unwrap_or(Err(StoreError::NoAnswer))
         };
-        match health.write(answered).await {
+        match health.track_write(answered).await {
             Ok(_) => {
                 for done in batch.drain(..) {
                     settle(done, Accepted::Yes);
@@ -135,17 +135,17 @@
             Err(StoreError::Conflict(rows)) => {
                 // Those jobs are durable already; the others go again.
                 let exists = |waiting: &Waiting| match waiting.item {
-                    Item::Submit(id, _) => rows.iter().any(|(table, row)| {
+                    WriteRequest::Submit(id, _) => rows.iter().any(|(table, row)| {
                         *table == Table::Jobs && row.version > 0 && row.key == id.to_string()
                     }),
-                    Item::Cancel(_) => false,
+                    WriteRequest::Cancel(_) => false,
                 };
                 let (there, rest): (Vec<Waiting>, Vec<Waiting>) = batch.drain(..).partition(exists);
                 batch = rest;
                 for done in there {
                     let answer = match &done.item {
-                        Item::Submit(job, row) => joined(*job, row, &rows),
-                        Item::Cancel(_) => Accepted::Yes,
+                        WriteRequest::Submit(job, row) => existing_job_outcome(*job, row, &rows),
+                        WriteRequest::Cancel(_) => Accepted::Yes,
                     };
                     settle(done, answer);
                 }
@@ -168,7 +168,7 @@
 
 /// What becomes of a job that is there already: the same one, unless it is another
 /// customer's.
-pub(crate) fn joined(job: JobId, mine: &[u8], rows: &[(Table, Row)]) -> Accepted {
+pub(crate) fn existing_job_outcome(job: JobId, mine: &[u8], rows: &[(Table, Row)]) -> Accepted {
     let key = job.to_string();
     let there = rows.iter().find(|(table, row)| *table == Table::Jobs && row.key == key);
     let Some(theirs) = there.and_then(|(_, row)| row.value.as_ref()) else { return Accepted::Yes };
@@ -205,14 +205,14 @@
     let mut seen = std::collections::BTreeSet::new();
     for waiting in batch {
         match &waiting.item {
-            Item::Submit(id, row) => {
+            WriteRequest::Submit(id, row) => {
                 if !seen.insert((true, *id)) {
                     continue;
                 }
                 transaction.expect.push((Table::Jobs, id.to_string(), 0));
                 transaction.put.push((Table::Jobs, id.to_string(), row.clone()));
             }
-            Item::Cancel(id) => {
+            WriteRequest::Cancel(id) => {
                 if seen.insert((false, *id)) {
                     transaction.put.push((Table::Cancels, id.to_string(), Vec::new()));
                 }
@@ -265,7 +265,7 @@
     }
 }
 
-impl Item {
+impl WriteRequest {
     fn bytes(&self) -> usize {
         match self {
             Self::Submit(_, row) => row.len(),
--- a/crates/node/src/advisors.rs
+++ b/crates/node/src/advisors.rs
@@ -22,9 +22,9 @@
 
 use crate::clock::steady_ms;
 use crate::members::Member;
-use crate::outside::Outside;
 use crate::peers::NodeCall;
 use crate::peers::NodeReply;
+use crate::platform::Platform;
 
 /// How much longer than the advisor's own time an answer may take: calls that
 /// wait before it, and some round trips between regions.
@@ -80,7 +80,7 @@
     turn: oneshot::Sender<Turn>,
 }
 
-impl<O: Outside> Advisors<O> {
+impl<O: Platform> Advisors<O> {
     /// Only this daemon asks, until others are known.
     pub fn new(outside: Arc<O>, peers: Peers, me: String) -> Self {
         let asking = BTreeMap::from([(me.clone(), Asking::default())]);
--- a/crates/node/src/commit/fences.rs
+++ b/crates/node/src/commit/fences.rs
@@ -11,11 +11,11 @@
 
 use crate::commit::encode;
 use crate::health::StoreHealth;
-use crate::outside::Outside;
-use crate::outside::Row;
-use crate::outside::StoreError;
-use crate::outside::Table;
-use crate::outside::Transaction;
+use crate::platform::Platform;
+use crate::platform::Row;
+use crate::platform::StoreError;
+use crate::platform::Table;
+use crate::platform::Transaction;
 
 /// Parts fenced at one time.
 const AT_ONCE: usize = 16;
@@ -58,7 +58,7 @@
 
 /// Puts this leader's fence on all parts; gives their versions, or `None` if a later
 /// leader was there first.
-pub(crate) async fn claim_fences<O: Outside>(
+pub(crate) async fn claim_fences<O: Platform>(
     outside: &Arc<O>,
     health: &Arc<StoreHealth>,
     mine: &Fence,
@@ -86,7 +86,7 @@
 }
 
 async fn claim(
-    outside: &impl Outside,
+    outside: &impl Platform,
     health: &StoreHealth,
     part: usize,
     mine: &Fence,
@@ -99,7 +99,7 @@
             put: vec![(Table::Fences, key.clone(), encode(mine))],
             remove: Vec::new(),
         };
-        match health.write(outside.transact(&transaction)).await {
+        match health.track_write(outside.transact(&transaction)).await {
             Ok(version) => return Some(version),
             Err(StoreError::Conflict(rows)) => {
                 let there = rows.iter().find(|(table, row)| {
--- a/crates/node/src/commit/renew.rs
+++ b/crates/node/src/commit/renew.rs
@@ -13,11 +13,11 @@
 use crate::duty::DutyRow;
 use crate::duty::RENEW_MS;
 use crate::health::StoreHealth;
-use crate::outside::Outside;
-use crate::outside::Row;
-use crate::outside::StoreError;
-use crate::outside::Table;
-use crate::outside::Transaction;
+use crate::platform::Platform;
+use crate::platform::Row;
+use crate::platform::StoreError;
+use crate::platform::Table;
+use crate::platform::Transaction;
 
 /// The key of the one row of [`Table::Duty`].
 pub(crate) const DUTY_KEY: &str = "scheduler";
@@ -36,7 +36,7 @@
 }
 
 /// Renews the duty until another daemon holds it or `stop` fires; then it is released.
-pub(crate) async fn keep_duty<O: Outside>(
+pub(crate) async fn keep_duty<O: Platform>(
     outside: Arc<O>,
     held: Held,
     health: Arc<StoreHealth>,
@@ -70,13 +70,13 @@
     renewed_ms: Arc<AtomicU64>,
 }
 
-impl<O: Outside> Keeper<O> {
+impl<O: Platform> Keeper<O> {
     /// Writes until it is done; `false` when another daemon holds the duty.
     async fn write(&mut self) -> bool {
         loop {
             let transaction = self.transaction();
             let sent_ms = steady_ms();
-            match self.health.write(self.outside.transact(&transaction)).await {
+            match self.health.track_write(self.outside.transact(&transaction)).await {
                 Ok(version) => {
                     // Others may have seen the row change any time since.
                     self.renewed_ms.store(sent_ms, Ordering::Relaxed);
--- a/crates/node/src/commit/writer.rs
+++ b/crates/node/src/commit/writer.rs
@@ -13,17 +13,17 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-use crate::accept::joined;
+use crate::accept::existing_job_outcome;
 use crate::commit::encode;
 use crate::commit::fences::Fence;
 use crate::commit::fences::read_fence;
 use crate::health::StoreHealth;
 use crate::inbox::Senders;
-use crate::outside::Outside;
-use crate::outside::Row;
-use crate::outside::StoreError;
-use crate::outside::Table;
-use crate::outside::Transaction;
+use crate::platform::Platform;
+use crate::platform::Row;
+use crate::platform::StoreError;
+use crate::platform::Table;
+use crate::platform::Transaction;
 
 /// After a write that the store refused or did not answer.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
@@ -58,7 +58,7 @@
     Deposed,
 }
 
-impl<O: Outside> Writer<O> {
+impl<O: Platform> Writer<O> {
     /// Writes a batch: at first as one transaction, and each part by itself if that fails.
     pub async fn write(self: Arc<Self>, batch: u64, mut writes: Vec<PartWrite>) {
         loop {
@@ -125,7 +125,7 @@
             let answered = timeout(limit, self.outside.transact(&transaction)).await;
             answered.unwrap_or(Err(StoreError::NoAnswer))
         };
-        match self.health.write(answered).await {
+        match self.health.track_write(answered).await {
             Ok(version) => {
                 let took = sent.elapsed();
                 metrics::histogram!("stoatwell_commit_ms").record(took.as_millis() as f64);
@@ -178,7 +178,7 @@
                 if there.is_none() {
                     return true;
                 }
-                let accepted = joined(put.job, &encode(spec.as_ref()), rows);
+                let accepted = existing_job_outcome(put.job, &encode(spec.as_ref()), rows);
                 put.submission = None;
                 if accepted != Accepted::Yes {
                     self.messages.notify(Event::Rejected { job: put.job, accepted });
--- a/crates/node/src/executors/call.rs
+++ b/crates/node/src/executors/call.rs
@@ -17,7 +17,7 @@
 use stoatwell_pool::StopCall;
 use stoatwell_pool::TaskId;
 
-use crate::outside::Outside;
+use crate::platform::Platform;
 
 /// A call to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -136,7 +136,7 @@
     }
 
     /// Calls the worker.
-    pub async fn perform(&self, outside: &impl Outside) -> WorkerReply {
+    pub async fn perform(&self, outside: &impl Platform) -> WorkerReply {
         match self {
             Self::Hold(call) => WorkerReply::Held(outside.hold(call).await),
             Self::Start(call) => WorkerReply::Started(outside.start(call).await),
--- a/crates/node/src/executors/mod.rs
+++ b/crates/node/src/executors/mod.rs
@@ -36,7 +36,7 @@
 use self::plan::order_of_use;
 use crate::inbox::Senders;
 use crate::members::Member;
-use crate::outside::Outside;
+use crate::platform::Platform;
 
 /// How long a new leader waits for its executors before it makes the first calls itself.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(150);
@@ -69,7 +69,7 @@
     sessions: u64,
 }
 
-impl<O: Outside> Executors<O> {
+impl<O: Platform> Executors<O> {
     /// No executors yet: the leader makes all calls itself.
     pub fn new(outside: Arc<O>, peers: Peers, me: Member, epoch: u64, messages: Senders) -> Self {
         let state = State {
--- a/crates/node/src/executors/session.rs
+++ b/crates/node/src/executors/session.rs
@@ -18,7 +18,7 @@
 use super::call::WorkerCall;
 use super::call::WorkerReply;
 use crate::clock::steady_ms;
-use crate::outside::Outside;
+use crate::platform::Platform;
 
 /// Once there is an answer, how long further ones are waited for.
 const GATHER: Duration = Duration::from_millis(12);
@@ -46,7 +46,7 @@
     replied: Notify,
 }
 
-impl<O: Outside> Executor<O> {
+impl<O: Platform> Executor<O> {
     /// An executor that no leader uses yet.
     pub fn new(outside: Arc<O>) -> Self {
         Self { outside, newest: Mutex::default() }
--- a/crates/node/src/gateway.rs
+++ b/crates/node/src/gateway.rs
@@ -24,26 +24,26 @@
 use tokio::time::timeout_at;
 
 use crate::accept::Acceptor;
-use crate::accept::Item;
+use crate::accept::WriteRequest;
 use crate::clock::steady_ms;
 use crate::commit::encode;
 use crate::executors;
 use crate::executors::call::Batch;
 use crate::executors::session::Executor;
-use crate::follow::read_row;
 use crate::health::StoreHealth;
+use crate::manifest::CurrentManifest;
 use crate::manifest::Manifest;
-use crate::manifest::ManifestInForce;
-use crate::manifest::PassedProof;
+use crate::manifest::RelayedProof;
 use crate::message::Query;
-use crate::outside::Outside;
-use crate::outside::StoreError;
-use crate::outside::Table;
 use crate::peers::NodeCall;
 use crate::peers::NodeReply;
+use crate::platform::Platform;
+use crate::platform::StoreError;
+use crate::platform::Table;
 use crate::scheduler::Liveness;
 use crate::scheduler::Route;
 use crate::scheduler::SchedulerView;
+use crate::store_watcher::read_row;
 
 /// How long the scheduler may take to answer before the store is asked:
 /// several round trips between regions.
@@ -77,7 +77,7 @@
     acceptor: Acceptor,
     peers: Peers,
     health: Arc<StoreHealth>,
-    manifest: Arc<ManifestInForce>,
+    manifest: Arc<CurrentManifest>,
     scheduler: watch::Sender<SchedulerView>,
     executor: Executor<O>,
     /// Daemons that this one knows of while it leads, and those among them that are fit to.
@@ -87,7 +87,7 @@
 
 /// What a caller learns of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Known {
+pub enum JobLookup {
     /// It stands so.
     State(JobState),
     /// The caller has no such job.
@@ -96,14 +96,14 @@
     Unknown,
 }
 
-impl<O: Outside> Gateway<O> {
+impl<O: Platform> Gateway<O> {
     /// A gateway that knows no scheduler yet.
     pub fn new(
         outside: Arc<O>,
         acceptor: Acceptor,
         peers: Peers,
         health: Arc<StoreHealth>,
-        manifest: Arc<ManifestInForce>,
+        manifest: Arc<CurrentManifest>,
     ) -> Self {
         let executor = Executor::new(Arc::clone(&outside));
         let scheduler = watch::Sender::default();
@@ -123,7 +123,7 @@
     }
 
     /// Takes note of who holds the duty.
-    pub(crate) fn saw_scheduler(&self, epoch: u64, address: Option<String>) {
+    pub(crate) fn observe_leader(&self, epoch: u64, address: Option<String>) {
         self.scheduler.send_modify(|view| view.saw(epoch, address));
     }
 
@@ -155,13 +155,13 @@
     }
 
     /// Whether several daemons are fit to lead, for all that is known.
-    pub(crate) fn are_others_fit(&self) -> bool {
+    pub(crate) fn has_enough_candidates(&self) -> bool {
         self.fit_daemons.load(Ordering::Relaxed) >= FIT_DAEMONS_MIN
     }
 
     /// Whether the store answers others, so that a caller that is turned away here is
     /// served at once elsewhere.
-    pub fn do_others_reach_store(&self) -> bool {
+    pub fn leader_reaches_store(&self) -> bool {
         self.scheduler.borrow().is_healthy()
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// Takes note of the leader's proof, and gets its manifest if that is newer.
-    pub(crate) async fn note_proof(&self, leader: &str, passed: PassedProof, asked_ms: u64) {
+    pub(crate) async fn note_proof(&self, leader: &str, passed: RelayedProof, asked_ms: u64) {
         if passed.version <= self.manifest.newest().version {
             let proof = Proof::from_peer(passed.version, passed.age_ms, asked_ms);
             self.manifest.note_proof(proof);
@@ -181,12 +181,12 @@
         let reply = self.peers.call(leader, &NodeCall::Manifest, SCHEDULER_LIMIT).await;
         let Ok(NodeReply::Manifest { manifest, proof }) = reply else { return };
         let Some(manifest) = executors::call::decode::<Manifest>(&manifest) else { return };
-        self.manifest.offer(manifest);
+        self.manifest.replace_if_newer(manifest);
         self.manifest.note_proof(Proof::from_peer(proof.version, proof.age_ms, asked_ms));
     }
 
     /// The manifest that callers are held against.
-    pub(crate) fn manifest(&self) -> &Arc<ManifestInForce> {
+    pub(crate) fn manifest(&self) -> &Arc<CurrentManifest> {
         &self.manifest
     }
 
@@ -214,14 +214,14 @@
         deadline: Instant,
     ) -> Option<Accepted> {
         let known = self.state(job, caller).await;
-        if known == Known::NoJob {
+        if known == JobLookup::NoJob {
             return None;
         }
         let accepted = match known {
-            Known::State(JobState::Completed | JobState::Failed | JobState::Cancelled) => {
+            JobLookup::State(JobState::Completed | JobState::Failed | JobState::Cancelled) => {
                 Accepted::Yes
             }
-            Known::Unknown => Accepted::Unknown,
+            JobLookup::Unknown => Accepted::Unknown,
             _ => self.keep_cancel(job, deadline).await,
         };
         if accepted == Accepted::Yes {
@@ -277,7 +277,7 @@
         row: Vec<u8>,
         deadline: Instant,
     ) -> Accepted {
-        let accepted = self.acceptor.accept(Item::Submit(job, row.clone()), deadline).await;
+        let accepted = self.acceptor.accept(WriteRequest::Submit(job, row.clone()), deadline).await;
         if accepted == Accepted::Yes {
             self.notify_scheduler(NodeCall::Accepted { job, row });
         }
@@ -323,7 +323,7 @@
     /// Makes a cancellation durable, here or, where the store turns this daemon away,
     /// through the scheduler's daemon, which reaches it or would not be that.
     async fn keep_cancel(&self, job: JobId, deadline: Instant) -> Accepted {
-        let here = self.acceptor.accept(Item::Cancel(job), deadline).await;
+        let here = self.acceptor.accept(WriteRequest::Cancel(job), deadline).await;
         if here != Accepted::No {
             return here;
         }
@@ -345,7 +345,7 @@
     /// store's feed is slower, and the other one cannot read the store.
     async fn keep_cancel_for_other(&self, job: JobId, limit_ms: u64) -> Accepted {
         let deadline = Instant::now() + Duration::from_millis(limit_ms);
-        let kept = self.acceptor.accept(Item::Cancel(job), deadline).await;
+        let kept = self.acceptor.accept(WriteRequest::Cancel(job), deadline).await;
         if let (Accepted::Yes, Route::Here(queries)) = (kept, self.route())
             && ask_here(&queries, NodeCall::Cancelled(job)).await.is_none()
         {
@@ -375,17 +375,17 @@
 
     /// Where a job stands. One of another customer is to its caller as if it were not
     /// there, so that nothing is learned of it.
-    pub async fn state(&self, job: JobId, caller: Option<&CustomerName>) -> Known {
+    pub async fn state(&self, job: JobId, caller: Option<&CustomerName>) -> JobLookup {
         if let Some(NodeReply::State(Some(view))) = self.ask(NodeCall::State(job)).await {
             return seen_by(&view, caller);
         }
         // The scheduler is away, or has not heard of a job just accepted.
         match self.state_in_store(job).await {
             Ok(Some(view)) => seen_by(&view, caller),
-            Ok(None) => Known::NoJob,
+            Ok(None) => JobLookup::NoJob,
             Err(error) => {
                 tracing::warn!(%job, %error, "state cannot be told");
-                Known::Unknown
+                JobLookup::Unknown
             }
         }
     }
@@ -448,7 +448,7 @@
             return NodeReply::Submitted(self.keep_cancel_for_other(job, limit_ms).await);
         }
         if let NodeCall::Leads { epoch, address } = call {
-            self.saw_scheduler(epoch, Some(address));
+            self.observe_leader(epoch, Some(address));
             return NodeReply::Noted;
         }
         if let NodeCall::Execute { session, batch } = call {
@@ -467,14 +467,14 @@
             let manifest = executors::call::encode(self.manifest.newest().as_ref());
             return NodeReply::Manifest {
                 manifest,
-                proof: self.manifest.passed_proof(steady_ms()),
+                proof: self.manifest.relayed_proof(steady_ms()),
             };
         }
         let Route::Here(queries) = self.route() else { return NodeReply::NotScheduler };
         if call == NodeCall::Alive {
             let daemons = self.daemons.load(Ordering::Relaxed);
             let fit = self.fit_daemons.load(Ordering::Relaxed);
-            let manifest = self.manifest.passed_proof(steady_ms());
+            let manifest = self.manifest.relayed_proof(steady_ms());
             return NodeReply::Alive { reaches_store: self.is_store_up(), daemons, fit, manifest };
         }
         if matches!(call, NodeCall::Submit { .. }) && !self.is_store_up() {
@@ -491,8 +491,8 @@
 }
 
 /// What a caller learns of a job.
-fn seen_by(view: &JobView, caller: Option<&CustomerName>) -> Known {
-    if view.customer.as_ref() == caller { Known::State(view.state) } else { Known::NoJob }
+fn seen_by(view: &JobView, caller: Option<&CustomerName>) -> JobLookup {
+    if view.customer.as_ref() == caller { JobLookup::State(view.state) } else { JobLookup::NoJob }
 }
 
 async fn ask_here(queries: &mpsc::Sender<Query>, call: NodeCall) -> Option<NodeReply> {
--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -18,9 +18,9 @@
 
 use crate::clock::steady_ms;
 use crate::commit::DUTY_KEY;
-use crate::outside::Outside;
-use crate::outside::StoreError;
-use crate::outside::Table;
+use crate::platform::Platform;
+use crate::platform::StoreError;
+use crate::platform::Table;
 
 /// Calls without answer, or refused, in a row after which the store counts as down.
 const FAILURES_MAX: u32 = 2;
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 pub struct StoreHealth {
     failures: AtomicU32,
-    answer_ms: AtomicU64,
+    latency_ms: AtomicU64,
     /// Since when a write waits with none answered since; 0 is none.
     waiting_ms: AtomicU64,
     /// When the store last answered anything; 0 is never.
@@ -64,7 +64,7 @@
     fn default() -> Self {
         Self {
             failures: AtomicU32::default(),
-            answer_ms: AtomicU64::default(),
+            latency_ms: AtomicU64::default(),
             waiting_ms: AtomicU64::default(),
             answered_ms: AtomicU64::default(),
             returns: watch::Sender::new(0),
@@ -74,7 +74,7 @@
 
 impl StoreHealth {
     /// Waits for a write's answer and takes note of how it went.
-    pub async fn write(
+    pub async fn track_write(
         &self,
         call: impl Future<Output = Result<u64, StoreError>>,
     ) -> Result<u64, StoreError> {
@@ -84,7 +84,7 @@
         }
         // One that was given up says nothing of the store as it is now.
         let Some(result) = self.unless_lost(call).await else { return Err(StoreError::NoAnswer) };
-        self.note(&result);
+        self.record_result(&result);
         if result.is_ok() {
             self.note_answer(steady_ms().saturating_sub(sent_ms));
         }
@@ -93,7 +93,7 @@
 
     /// Waits for a reading, but not beyond the end of an outage: what was sent into
     /// one is not answered any more.
-    pub async fn read<T>(
+    pub async fn track_read<T>(
         &self,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
@@ -111,12 +111,12 @@
 
     /// How long a write of a job waits for its answer.
     pub fn write_timeout(&self) -> Duration {
-        let usual_ms = self.answer_ms() * WRITE_TIMEOUT_ANSWERS;
+        let usual_ms = self.latency_ms() * WRITE_TIMEOUT_ANSWERS;
         Duration::from_millis(usual_ms.clamp(*WRITE_TIMEOUT_MS.start(), *WRITE_TIMEOUT_MS.end()))
     }
 
     /// Takes note of how a call went.
-    pub fn note<T>(&self, result: &Result<T, StoreError>) {
+    pub fn record_result<T>(&self, result: &Result<T, StoreError>) {
         match result {
             Err(StoreError::NoAnswer | StoreError::Refused) => {
                 self.waiting_ms.store(0, Ordering::Relaxed);
@@ -153,10 +153,10 @@
 
     /// Takes note of how long an answer took.
     fn note_answer(&self, took_ms: u64) {
-        let before = self.answer_ms.load(Ordering::Relaxed);
+        let before = self.latency_ms.load(Ordering::Relaxed);
         let after =
             if before == 0 { took_ms } else { (before * (SMOOTHING - 1) + took_ms) / SMOOTHING };
-        self.answer_ms.store(after.max(1), Ordering::Relaxed);
+        self.latency_ms.store(after.max(1), Ordering::Relaxed);
     }
 
     /// Whether writes are pointless now.
@@ -169,13 +169,13 @@
 
     fn is_suspect(&self) -> bool {
         let since_ms = self.waiting_ms.load(Ordering::Relaxed);
-        let allowed_ms = SUSPECT_MIN_MS.max(self.answer_ms() * SUSPECT_ANSWERS);
+        let allowed_ms = SUSPECT_MIN_MS.max(self.latency_ms() * SUSPECT_ANSWERS);
         since_ms > 0 && steady_ms().saturating_sub(since_ms) > allowed_ms
     }
 
     /// The usual answer time.
-    pub fn answer_ms(&self) -> u64 {
-        self.answer_ms.load(Ordering::Relaxed)
+    pub fn latency_ms(&self) -> u64 {
+        self.latency_ms.load(Ordering::Relaxed)
     }
 }
 
@@ -183,7 +183,7 @@
 ///
 /// Questions overlap: one that was sent into the outage brings no answer, also after
 /// its end, and the next one must not wait for it.
-pub async fn probe<O: Outside>(outside: Arc<O>, health: Arc<StoreHealth>) {
+pub async fn probe<O: Platform>(outside: Arc<O>, health: Arc<StoreHealth>) {
     let mut questions = JoinSet::new();
     loop {
         tokio::time::sleep(PROBE_EVERY).await;
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -93,7 +93,7 @@
 
     /// Tells the scheduler that another one leads.
     pub fn depose(&self) {
-        if self.control.send(Message::Deposed).is_err() {
+        if self.control.send(Message::LeadershipLost).is_err() {
             tracing::debug!("the scheduler had ended before");
         }
     }
--- a/crates/node/src/lead.rs
+++ b/crates/node/src/lead.rs
@@ -36,26 +36,26 @@
 use crate::duty::LEASE_MS;
 use crate::executors::Executors;
 use crate::executors::call::WorkerCall;
-use crate::follow::Follower;
-use crate::follow::read_row;
 use crate::gateway::Gateway;
 use crate::health::StoreHealth;
 use crate::inbox::Inbox;
 use crate::inbox::Senders;
 use crate::inbox::Turn;
 use crate::inbox::inbox;
+use crate::manifest::CurrentManifest;
 use crate::manifest::Manifest;
-use crate::manifest::ManifestInForce;
-use crate::measure::TurnMeter;
-use crate::measure::count;
-use crate::measure::measure;
 use crate::members::Member;
 use crate::message::Message;
 use crate::message::Query;
-use crate::outside::Outside;
-use crate::outside::Table;
 use crate::peers::NodeCall;
+use crate::platform::Platform;
+use crate::platform::Table;
+use crate::store_watcher::StoreWatcher;
+use crate::store_watcher::read_row;
 use crate::submissions::Submissions;
+use crate::telemetry::CycleTimes;
+use crate::telemetry::count_event;
+use crate::telemetry::publish_gauges;
 
 /// The longest that the pool is left alone.
 const IDLE_WAIT_MAX_MS: u64 = 50;
@@ -90,7 +90,7 @@
     pub stop: tokio::sync::watch::Receiver<bool>,
 }
 
-impl<O: Outside> Lead<O> {
+impl<O: Platform> Lead<O> {
     /// Schedules until another daemon does or this one stops.
     pub async fn run(mut self) {
         let began_ms = steady_ms();
@@ -122,7 +122,7 @@
         tracing::info!(epoch, took_ms = steady_ms() - began_ms, "scheduler ready");
         metrics::counter!("stoatwell_takeovers_total").increment(1);
         let mut measured_ms = 0;
-        let mut meter = TurnMeter::default();
+        let mut meter = CycleTimes::default();
         let mut decided = Duration::ZERO;
         loop {
             let wait_ms = pool.idle_ms(steady_ms()).clamp(1, IDLE_WAIT_MAX_MS);
@@ -173,9 +173,9 @@
             if steady_ms() >= measured_ms + MEASURE_EVERY_MS {
                 let period_ms = steady_ms() - measured_ms;
                 measured_ms = steady_ms();
-                measure(&pool, &meter);
+                publish_gauges(&pool, &meter);
                 executors.update_load(meter.total().as_millis() as u64, period_ms);
-                meter = TurnMeter::default();
+                meter = CycleTimes::default();
                 executors.update_workers(pool.workers_by_zone());
             }
         }
@@ -205,7 +205,7 @@
             versions: Mutex::new(versions),
             messages: messages.clone(),
         });
-        let follower = Arc::new(Follower {
+        let follower = Arc::new(StoreWatcher {
             outside: Arc::clone(&self.outside),
             health: Arc::clone(&self.health),
             messages: messages.clone(),
@@ -265,9 +265,9 @@
         for listed in workers.listed {
             pool.handle(steady_ms(), unix_ms(), Event::Listed(listed));
         }
-        tasks.spawn(Arc::clone(&follower).follow(Table::Jobs, jobs.version));
-        tasks.spawn(Arc::clone(&follower).follow(Table::Cancels, cancels.version));
-        tasks.spawn(Arc::clone(&follower).follow_workers(version));
+        tasks.spawn(Arc::clone(&follower).watch_table(Table::Jobs, jobs.version));
+        tasks.spawn(Arc::clone(&follower).watch_table(Table::Cancels, cancels.version));
+        tasks.spawn(Arc::clone(&follower).watch_workers(version));
         let leads = NodeCall::Leads { epoch, address: self.held.row.address.clone() };
         let (advisors, executors) = (Arc::clone(&self.advisors), Arc::clone(executors));
         let gateway = Arc::clone(&self.gateway);
@@ -309,9 +309,9 @@
 }
 
 /// Tells the scheduler of the customers of each newer manifest.
-async fn forward_customers(in_force: Arc<ManifestInForce>, mut version: u64, messages: Senders) {
+async fn forward_customers(in_force: Arc<CurrentManifest>, mut version: u64, messages: Senders) {
     loop {
-        let manifest = in_force.newer_than(version).await;
+        let manifest = in_force.wait_for_newer(version).await;
         version = manifest.version;
         messages.notify(Event::Customers { limits: customers(&manifest) });
     }
@@ -324,13 +324,13 @@
 
 async fn deposed(inbox: &mut Inbox) {
     while let Some(message) = inbox.recv_control().await {
-        if matches!(message, Message::Deposed) {
+        if matches!(message, Message::LeadershipLost) {
             return;
         }
     }
 }
 
-async fn keep_duty_and_notify<O: Outside>(
+async fn keep_duty_and_notify<O: Platform>(
     outside: Arc<O>,
     held: Held,
     health: Arc<StoreHealth>,
@@ -354,9 +354,9 @@
     let more = std::iter::from_fn(|| inbox.take(turn));
     for message in first.into_iter().chain(more) {
         match message {
-            Message::Deposed => return false,
+            Message::LeadershipLost => return false,
             Message::Event(event) => {
-                count(&event);
+                count_event(&event);
                 pool.handle(steady_ms(), unix_ms(), event);
             }
             Message::Query(query) => answer(pool, submissions, query, fresh),
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/leader_election.rs
@@ -21,11 +21,11 @@
 use crate::health::StoreHealth;
 use crate::lead::Lead;
 use crate::message::Query;
-use crate::outside::Outside;
-use crate::outside::Row;
-use crate::outside::StoreError;
-use crate::outside::Table;
-use crate::outside::Transaction;
+use crate::platform::Platform;
+use crate::platform::Row;
+use crate::platform::StoreError;
+use crate::platform::Table;
+use crate::platform::Transaction;
 use crate::scheduler::Liveness;
 
 /// How long a look at the duty's row waits for a change.
@@ -42,7 +42,7 @@
 
 /// Follows the duty for the whole life of a daemon.
 #[derive(Debug)]
-pub struct Watch<O> {
+pub struct LeaderElector<O> {
     /// Who this daemon is.
     pub settings: NodeSettings,
     /// The outside world.
@@ -61,7 +61,7 @@
     pub leading: tokio::sync::watch::Sender<Option<mpsc::Sender<Query>>>,
 }
 
-impl<O: Outside> Watch<O> {
+impl<O: Platform> LeaderElector<O> {
     /// Watches, and schedules whenever the duty is won, until the daemon stops.
     pub async fn run(self) {
         let mut stop = self.stop.clone();
@@ -117,7 +117,7 @@
             name: self.settings.name.clone(),
             cores: self.settings.cores,
             link_mbps: self.settings.link_mbps,
-            store_answer_ms: self.health.answer_ms(),
+            store_answer_ms: self.health.latency_ms(),
         }
     }
 
@@ -131,9 +131,9 @@
         let mut scheduler = self.gateway.watch_scheduler();
         let epoch = view.epoch();
         let result = match *after {
-            None => self.health.read(self.read_duty(after)).await,
+            None => self.health.track_read(self.read_duty(after)).await,
             Some(version) => tokio::select! {
-                followed = self.health.read(self.follow_duty(version, view, after)) => followed,
+                followed = self.health.track_read(self.follow_duty(version, view, after)) => followed,
                 // A claim may be due sooner now.
                 _ = scheduler.wait_for(|view| view.liveness_of(epoch) != liveness) => return false,
             },
@@ -165,7 +165,7 @@
         let epoch = view.epoch();
         let well = |liveness| liveness == Liveness::Healthy;
         if !is_underprovisioned(self.settings.cores)
-            || !self.gateway.are_others_fit()
+            || !self.gateway.has_enough_candidates()
             || !well(self.gateway.scheduler_liveness(epoch))
         {
             return;
@@ -195,7 +195,7 @@
     ) -> Result<Option<Option<(DutyRow, u64)>>, StoreError> {
         let due_ms = self.claim_ms(view).saturating_sub(steady_ms());
         let wait_ms = due_ms.min(LOOK_WAIT_MS);
-        let rows = self.outside.follow(Table::Duty, version, wait_ms).await?;
+        let rows = self.outside.poll_changes(Table::Duty, version, wait_ms).await?;
         *after = Some(rows.version);
         let newest = rows.rows.iter().rev().find(|row| row.key == DUTY_KEY);
         Ok(newest.map(duty_row))
@@ -204,7 +204,7 @@
     fn notify_gateway(&self, view: &DutyView) {
         let Some((row, _)) = &view.row else { return };
         let address = (!row.released).then(|| row.address.clone());
-        self.gateway.saw_scheduler(row.epoch, address);
+        self.gateway.observe_leader(row.epoch, address);
     }
 
     async fn claim(&self, view: &DutyView, incarnation: u64) -> Result<Held, StoreError> {
@@ -223,7 +223,7 @@
             put: vec![(Table::Duty, DUTY_KEY.to_owned(), encode(&row))],
             remove: Vec::new(),
         };
-        match self.health.write(self.outside.transact(&transaction)).await {
+        match self.health.track_write(self.outside.transact(&transaction)).await {
             Ok(version) => {
                 let before = view.row.as_ref().map(|(row, _)| row.holder.as_str());
                 let silent_ms = steady_ms().saturating_sub(view.changed_ms);
@@ -242,7 +242,7 @@
     async fn lead(&self, held: Held) {
         let epoch = held.row.epoch;
         let (queries, inbox) = mpsc::channel(QUERIES_MAX);
-        self.gateway.saw_scheduler(epoch, Some(self.settings.address.clone()));
+        self.gateway.observe_leader(epoch, Some(self.settings.address.clone()));
         self.gateway.set_scheduler_here(Some(queries.clone()));
         self.leading.send_replace(Some(queries));
         let lead = Lead {
@@ -259,7 +259,7 @@
         };
         lead.run().await;
         self.leading.send_replace(None);
-        self.gateway.saw_scheduler(epoch, None);
+        self.gateway.observe_leader(epoch, None);
         self.gateway.set_scheduler_here(None);
         tracing::info!(epoch, "duty ended");
     }
@@ -267,11 +267,11 @@
 
 /// Tells other daemons where this one is, so that the scheduler can ask the advisor
 /// through it.
-async fn announce<O: Outside>(outside: Arc<O>, health: Arc<StoreHealth>, settings: NodeSettings) {
+async fn announce<O: Platform>(outside: Arc<O>, health: Arc<StoreHealth>, settings: NodeSettings) {
     let put = vec![(Table::Daemons, settings.name.clone(), encode(&settings.member()))];
     let transaction = Transaction { put, ..Transaction::default() };
     for _ in 0..ANNOUNCE_TRIES {
-        match health.write(outside.transact(&transaction)).await {
+        match health.track_write(outside.transact(&transaction)).await {
             Ok(_) => return,
             Err(error) => tracing::warn!(%error, "this daemon cannot be announced yet"),
         }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -10,20 +10,20 @@
 mod commit;
 mod duty;
 pub mod executors;
-mod follow;
 mod gateway;
 mod health;
 mod inbox;
 mod lead;
+mod leader_election;
 mod manifest;
-mod measure;
 mod members;
 mod message;
-mod outside;
 mod peers;
+mod platform;
 mod scheduler;
+mod store_watcher;
 mod submissions;
-mod watch;
+mod telemetry;
 
 use std::sync::Arc;
 
@@ -36,7 +36,7 @@
 
 use crate::accept::Acceptor;
 use crate::health::StoreHealth;
-use crate::watch::Watch;
+use crate::leader_election::LeaderElector;
 
 pub use crate::advisors::Advisors;
 pub use crate::duty::DutyRow;
@@ -46,29 +46,29 @@
 pub use crate::duty::QUIET_MS;
 pub use crate::duty::RENEW_MS;
 pub use crate::gateway::Gateway;
-pub use crate::gateway::Known;
+pub use crate::gateway::JobLookup;
 pub use crate::inbox::Inbox;
 pub use crate::inbox::Senders;
 pub use crate::inbox::Turn;
 pub use crate::inbox::inbox;
+pub use crate::manifest::CurrentManifest;
 pub use crate::manifest::Denied;
 pub use crate::manifest::Manifest;
-pub use crate::manifest::ManifestInForce;
-pub use crate::manifest::PassedProof;
 pub use crate::manifest::Queue;
+pub use crate::manifest::RelayedProof;
 pub use crate::members::Member;
 pub use crate::message::Message;
 pub use crate::message::Query;
-pub use crate::outside::Confirmation;
-pub use crate::outside::Outside;
-pub use crate::outside::Row;
-pub use crate::outside::Rows;
-pub use crate::outside::Shard;
-pub use crate::outside::StoreError;
-pub use crate::outside::Table;
-pub use crate::outside::Transaction;
-pub use crate::outside::WorkerChanges;
-pub use crate::outside::shard;
+pub use crate::platform::Confirmation;
+pub use crate::platform::Platform;
+pub use crate::platform::Row;
+pub use crate::platform::Rows;
+pub use crate::platform::Shard;
+pub use crate::platform::StoreError;
+pub use crate::platform::Table;
+pub use crate::platform::Transaction;
+pub use crate::platform::WorkerChanges;
+pub use crate::platform::shard;
 pub use crate::scheduler::Liveness;
 pub use crate::scheduler::probe_interval;
 
@@ -109,17 +109,17 @@
 #[derive(Debug)]
 pub struct Node<O> {
     gateway: Arc<Gateway<O>>,
-    manifest: Arc<ManifestInForce>,
+    manifest: Arc<CurrentManifest>,
     stop: tokio::sync::watch::Sender<bool>,
     stopped: tokio::sync::watch::Receiver<bool>,
     leading: tokio::sync::watch::Receiver<Option<tokio::sync::mpsc::Sender<Query>>>,
 }
 
-impl<O: Outside> Node<O> {
+impl<O: Platform> Node<O> {
     /// Starts the daemon's tasks; peers connect to the listener.
     pub fn start(settings: &NodeSettings, outside: Arc<O>, listener: TcpListener) -> Self {
         let health = Arc::new(StoreHealth::default());
-        let manifest = Arc::new(ManifestInForce::new(settings.revoke_ms.map(ProofLimits::new)));
+        let manifest = Arc::new(CurrentManifest::new(settings.revoke_ms.map(ProofLimits::new)));
         let acceptor = Acceptor::start(Arc::clone(&outside), Arc::clone(&health));
         let peers = Peers::new(&settings.peer_key, Traffic::default());
         let gateway = Arc::new(Gateway::new(
@@ -132,7 +132,7 @@
         let (stop, stopping) = tokio::sync::watch::channel(false);
         let (stopped_out, stopped) = tokio::sync::watch::channel(false);
         let (leading_out, leading) = tokio::sync::watch::channel(None);
-        tokio::spawn(manifest::follow(
+        tokio::spawn(manifest::watch(
             Arc::clone(&outside),
             Arc::clone(&health),
             Arc::clone(&manifest),
@@ -150,7 +150,7 @@
         ));
         let advisors =
             Arc::new(Advisors::new(Arc::clone(&outside), peers.clone(), settings.address.clone()));
-        let watch = Watch {
+        let watch = LeaderElector {
             settings: settings.clone(),
             outside,
             health,
@@ -175,7 +175,7 @@
     }
 
     /// The manifest that callers are held against.
-    pub fn manifest(&self) -> &Arc<ManifestInForce> {
+    pub fn manifest(&self) -> &Arc<CurrentManifest> {
         &self.manifest
     }
 
@@ -196,7 +196,7 @@
     }
 }
 
-async fn serve_peers<O: Outside>(listener: TcpListener, key: String, gateway: Arc<Gateway<O>>) {
+async fn serve_peers<O: Platform>(listener: TcpListener, key: String, gateway: Arc<Gateway<O>>) {
     let handler = move |call| {
         let gateway = Arc::clone(&gateway);
         async move { gateway.answer(call).await }
--- a/crates/node/src/manifest/admission.rs
+++ b/crates/node/src/manifest/admission.rs
@@ -3,8 +3,8 @@
 use stoatwell_customers::Customer;
 
 use crate::clock::steady_ms;
+use crate::manifest::CurrentManifest;
 use crate::manifest::Manifest;
-use crate::manifest::ManifestInForce;
 use crate::manifest::Queue;
 
 /// Why a caller is not let in.
@@ -16,7 +16,7 @@
     Unconfirmed,
 }
 
-impl ManifestInForce {
+impl CurrentManifest {
     /// The customer that calls; none on a queue that is open to anybody.
     ///
     /// The proof is held against the present moment, which is later than the one at which
--- a/crates/node/src/manifest/in_force.rs
+++ b/crates/node/src/manifest/current.rs
@@ -13,7 +13,7 @@
 /// The newest manifest that a daemon has seen. A version never goes back, also when a
 /// store that lags behind answers with an older one.
 #[derive(Debug)]
-pub struct ManifestInForce {
+pub struct CurrentManifest {
     view: watch::Sender<View>,
     /// How old a proof may be; none where keys are not taken away by a deadline.
     limits: Option<ProofLimits>,
@@ -27,14 +27,14 @@
 
 /// The proof of one daemon, as another one gets it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PassedProof {
+pub struct RelayedProof {
     /// The version.
     pub version: u64,
     /// How old the proof was when it was passed on.
     pub age_ms: u64,
 }
 
-impl ManifestInForce {
+impl CurrentManifest {
     /// No manifest yet.
     pub fn new(limits: Option<ProofLimits>) -> Self {
         Self { view: watch::Sender::default(), limits }
@@ -46,7 +46,7 @@
     }
 
     /// Takes a manifest, unless it is older than the one in force.
-    pub fn offer(&self, manifest: Manifest) {
+    pub fn replace_if_newer(&self, manifest: Manifest) {
         self.view.send_if_modified(|view| {
             if manifest.version <= view.manifest.version {
                 return false;
@@ -70,9 +70,9 @@
     }
 
     /// The proof to pass on.
-    pub fn passed_proof(&self, now_ms: u64) -> PassedProof {
+    pub fn relayed_proof(&self, now_ms: u64) -> RelayedProof {
         let view = self.view.borrow();
-        PassedProof { version: view.manifest.version, age_ms: view.proof.age_ms(now_ms) }
+        RelayedProof { version: view.manifest.version, age_ms: view.proof.age_ms(now_ms) }
     }
 
     /// Whether keys may be held against the manifest.
@@ -90,7 +90,7 @@
     }
 
     /// Waits for a newer manifest than this version.
-    pub(crate) async fn newer_than(&self, version: u64) -> Arc<Manifest> {
+    pub(crate) async fn wait_for_newer(&self, version: u64) -> Arc<Manifest> {
         let mut view = self.view.subscribe();
         let newer = view.wait_for(|view| view.manifest.version > version).await;
         // The sender is `self`, so it outlives the wait.
--- a/crates/node/src/manifest/mod.rs
+++ b/crates/node/src/manifest/mod.rs
@@ -1,8 +1,8 @@
 //! The operators' manifest: which queues there are, where they are reached, and by whom.
 
 mod admission;
-mod follow;
-mod in_force;
+mod current;
+mod watch;
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,10 +10,10 @@
 use stoatwell_pool::QueueSpec;
 
 pub use crate::manifest::admission::Denied;
-pub(crate) use crate::manifest::follow::confirm;
-pub(crate) use crate::manifest::follow::follow;
-pub use crate::manifest::in_force::ManifestInForce;
-pub use crate::manifest::in_force::PassedProof;
+pub use crate::manifest::current::CurrentManifest;
+pub use crate::manifest::current::RelayedProof;
+pub(crate) use crate::manifest::watch::confirm;
+pub(crate) use crate::manifest::watch::watch;
 
 /// One version of the manifest.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
--- a/crates/node/src/manifest/follow.rs
+++ b/crates/node/src/manifest/watch.rs
@@ -10,10 +10,10 @@
 
 use crate::clock::steady_ms;
 use crate::health::StoreHealth;
-use crate::manifest::ManifestInForce;
-use crate::outside::Confirmation;
-use crate::outside::Outside;
-use crate::outside::StoreError;
+use crate::manifest::CurrentManifest;
+use crate::platform::Confirmation;
+use crate::platform::Platform;
+use crate::platform::StoreError;
 
 /// How long a question for a newer manifest waits. One that is lost costs nothing: the
 /// leader's heartbeats tell of a newer version too.
@@ -28,23 +28,23 @@
 const CONFIRM_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Keeps the newest manifest, for the whole life of a daemon.
-pub(crate) async fn follow<O: Outside>(
+pub(crate) async fn watch<O: Platform>(
     outside: Arc<O>,
     health: Arc<StoreHealth>,
-    in_force: Arc<ManifestInForce>,
+    in_force: Arc<CurrentManifest>,
 ) {
     let mut after = None;
     loop {
         let result = match after {
             None => outside.manifest().await,
-            Some(version) => outside.follow_manifest(version, WAIT_MS).await,
+            Some(version) => outside.poll_manifest(version, WAIT_MS).await,
         };
-        health.note(&result);
+        health.record_result(&result);
         match result {
             Ok((manifest, version)) => {
                 after = Some(version);
                 if let Some(manifest) = manifest {
-                    in_force.offer(manifest);
+                    in_force.replace_if_newer(manifest);
                 }
             }
             Err(StoreError::HistoryLost) => after = None,
@@ -61,9 +61,9 @@
 /// Readings and feeds may lag behind while the store drops its history; a transaction
 /// under the condition that the row is unchanged does not. Questions overlap, since one
 /// that was sent into an outage is never answered.
-pub(crate) async fn confirm<O: Outside>(
+pub(crate) async fn confirm<O: Platform>(
     outside: Arc<O>,
-    in_force: Arc<ManifestInForce>,
+    in_force: Arc<CurrentManifest>,
     is_leader: impl Fn() -> bool,
 ) {
     let mut questions = JoinSet::new();
@@ -72,7 +72,7 @@
         sleep(CONFIRM_EVERY).await;
         while questions.try_join_next().is_some() {}
         let now_ms = steady_ms();
-        let age_ms = in_force.passed_proof(now_ms).age_ms;
+        let age_ms = in_force.relayed_proof(now_ms).age_ms;
         metrics::gauge!("stoatwell_manifest_proof_age_ms").set(age_ms as f64);
         let leads_and_due =
             is_leader() && now_ms >= asked_ms + LEADER_CONFIRM_EVERY.as_millis() as u64;
@@ -93,7 +93,7 @@
                 }
                 Ok(Ok(Confirmation::Replaced(Some(newer)))) => {
                     let version = newer.version;
-                    in_force.offer(newer);
+                    in_force.replace_if_newer(newer);
                     in_force.note_proof(Proof::from_store(version, sent_ms));
                 }
                 Ok(Ok(Confirmation::Replaced(None))) => {
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use stoatwell_model::ZoneName;
 
-use crate::outside::Row;
+use crate::platform::Row;
 
 /// A daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -34,5 +34,5 @@
     /// Somebody asks.
     Query(Query),
     /// Another daemon schedules now.
-    Deposed,
+    LeadershipLost,
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -9,7 +9,7 @@
 use stoatwell_pool::StepId;
 
 use crate::executors::session::SessionId;
-use crate::manifest::PassedProof;
+use crate::manifest::RelayedProof;
 
 /// A question.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -97,14 +97,14 @@
         /// How many of them are fit to lead.
         fit: u32,
         /// Up to when its manifest was the newest.
-        manifest: PassedProof,
+        manifest: RelayedProof,
     },
     /// The newest manifest that this daemon knows.
     Manifest {
         /// A [`Manifest`](crate::Manifest), encoded.
         manifest: Vec<u8>,
         /// Up to when it was the newest.
-        proof: PassedProof,
+        proof: RelayedProof,
     },
     /// Taken note of.
     Noted,
--- a/crates/node/src/outside.rs
+++ b/crates/node/src/platform.rs
@@ -122,7 +122,7 @@
 }
 
 /// The outside world.
-pub trait Outside: Send + Sync + 'static {
+pub trait Platform: Send + Sync + 'static {
     /// Changes rows under conditions; gives the new version.
     fn transact(
         &self,
@@ -141,7 +141,7 @@
     fn read_all(&self, table: Table) -> impl Future<Output = Result<Rows, StoreError>> + Send;
 
     /// Waits for changes to a table after a version.
-    fn follow(
+    fn poll_changes(
         &self,
         table: Table,
         after: u64,
@@ -152,7 +152,7 @@
     fn workers(&self) -> impl Future<Output = Result<WorkerChanges, StoreError>> + Send;
 
     /// Waits for changes to the list of workers.
-    fn follow_workers(
+    fn poll_worker_changes(
         &self,
         after: u64,
         wait_ms: u64,
@@ -162,7 +162,7 @@
     fn manifest(&self) -> impl Future<Output = Result<(Option<Manifest>, u64), StoreError>> + Send;
 
     /// Waits for a newer manifest.
-    fn follow_manifest(
+    fn poll_manifest(
         &self,
         after: u64,
         wait_ms: u64,
--- a/crates/node/src/scheduler.rs
+++ b/crates/node/src/scheduler.rs
@@ -16,9 +16,9 @@
 use crate::clock::steady_ms;
 use crate::gateway::Gateway;
 use crate::message::Query;
-use crate::outside::Outside;
 use crate::peers::NodeCall;
 use crate::peers::NodeReply;
+use crate::platform::Platform;
 
 /// How long the scheduler may take to say that it lives: some round trips between
 /// regions, and a cycle over a long queue.
@@ -136,7 +136,7 @@
 }
 
 /// Asks the scheduler again and again whether it lives, for the whole liveness of a daemon.
-pub(crate) async fn check_liveness<O: Outside>(
+pub(crate) async fn check_liveness<O: Platform>(
     gateway: Arc<Gateway<O>>,
     peers: Peers,
     is_underprovisioned: bool,
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/store_watcher.rs
@@ -18,13 +18,13 @@
 use crate::health::StoreHealth;
 use crate::inbox::Senders;
 use crate::members::read_members;
-use crate::outside::Outside;
-use crate::outside::Row;
-use crate::outside::Rows;
-use crate::outside::StoreError;
-use crate::outside::Table;
-use crate::outside::WorkerChanges;
 use crate::peers::NodeCall;
+use crate::platform::Platform;
+use crate::platform::Row;
+use crate::platform::Rows;
+use crate::platform::StoreError;
+use crate::platform::Table;
+use crate::platform::WorkerChanges;
 
 /// How long a question for changes waits at the store.
 const FOLLOW_WAIT_MS: u64 = 1_500;
@@ -45,7 +45,7 @@
 
 /// Reads and follows what lasts, for one scheduler.
 #[derive(Debug)]
-pub(crate) struct Follower<O> {
+pub(crate) struct StoreWatcher<O> {
     /// The outside world.
     pub outside: Arc<O>,
     /// Whether the store answers.
@@ -54,7 +54,7 @@
     pub messages: Senders,
 }
 
-impl<O: Outside> Follower<O> {
+impl<O: Platform> StoreWatcher<O> {
     /// Reads the list of workers.
     pub async fn workers(&self) -> WorkerChanges {
         self.persist(|| self.outside.workers()).await
@@ -91,10 +91,10 @@
     }
 
     /// Tells the scheduler of each new row of a table.
-    pub async fn follow(self: Arc<Self>, table: Table, mut after: u64) {
+    pub async fn watch_table(self: Arc<Self>, table: Table, mut after: u64) {
         loop {
-            let changes = self.outside.follow(table, after, FOLLOW_WAIT_MS);
-            let rows = match self.health.read(changes).await {
+            let changes = self.outside.poll_changes(table, after, FOLLOW_WAIT_MS);
+            let rows = match self.health.track_read(changes).await {
                 Ok(rows) => rows,
                 Err(StoreError::HistoryLost) => {
                     tracing::warn!(%table, after, "the store dropped the history, the table is read anew");
@@ -132,21 +132,22 @@
     }
 
     /// Tells the scheduler of each change to the list of workers.
-    pub async fn follow_workers(self: Arc<Self>, mut after: u64) {
+    pub async fn watch_workers(self: Arc<Self>, mut after: u64) {
         let mut missing: BTreeMap<WorkerId, u64> = BTreeMap::new();
         let mut readable_since_ms = steady_ms();
         loop {
-            let changes = match self.health.read(self.outside.follow_workers(after, 0)).await {
-                Ok(changes) => changes,
-                // What left meanwhile is not in the new reading; its silence tells.
-                Err(StoreError::HistoryLost) => self.workers().await,
-                Err(error) => {
-                    tracing::warn!(%error, "the list of workers cannot be followed");
-                    tokio::time::sleep(FOLLOW_PAUSE).await;
-                    readable_since_ms = steady_ms();
-                    continue;
-                }
-            };
+            let changes =
+                match self.health.track_read(self.outside.poll_worker_changes(after, 0)).await {
+                    Ok(changes) => changes,
+                    // What left meanwhile is not in the new reading; its silence tells.
+                    Err(StoreError::HistoryLost) => self.workers().await,
+                    Err(error) => {
+                        tracing::warn!(%error, "the list of workers cannot be followed");
+                        tokio::time::sleep(FOLLOW_PAUSE).await;
+                        readable_since_ms = steady_ms();
+                        continue;
+                    }
+                };
             after = changes.version;
             self.take_changes(changes, &mut missing);
             let now_ms = steady_ms();
@@ -183,7 +184,7 @@
     ) {
         let mut told = BTreeSet::new();
         loop {
-            match self.health.read(self.outside.read_all(Table::Daemons)).await {
+            match self.health.track_read(self.outside.read_all(Table::Daemons)).await {
                 Ok(rows) => {
                     let members = read_members(&rows.rows);
                     let known = advisors.update_members(&members);
@@ -209,7 +210,7 @@
         F: Future<Output = Result<T, StoreError>>,
     {
         loop {
-            match self.health.read(call()).await {
+            match self.health.track_read(call()).await {
                 Ok(value) => return value,
                 Err(error) => {
                     tracing::warn!(%error, "state cannot be read back yet");
--- a/crates/node/src/measure.rs
+++ b/crates/node/src/telemetry.rs
@@ -11,7 +11,7 @@
 const CUSTOMERS_MEASURED_MAX: usize = 100;
 
 /// Counts what workers and the advisor answered.
-pub(crate) fn count(event: &Event) {
+pub(crate) fn count_event(event: &Event) {
     match event {
         Event::Held { reply, .. } => {
             let outcome = reply.as_ref().map_or_else(CallError::to_string, |_| "answered".into());
@@ -36,14 +36,14 @@
 
 /// What the leader's turns of one second took.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct TurnMeter {
+pub(crate) struct CycleTimes {
     turns: u32,
     handling: Duration,
     deciding: Duration,
     calling: Duration,
 }
 
-impl TurnMeter {
+impl CycleTimes {
     /// What all of them took.
     pub fn total(&self) -> Duration {
         self.handling + self.deciding + self.calling
@@ -59,7 +59,7 @@
 }
 
 /// Sets the gauges of what the scheduler believes.
-pub(crate) fn measure(pool: &Pool, meter: &TurnMeter) {
+pub(crate) fn publish_gauges(pool: &Pool, meter: &CycleTimes) {
     let counts = pool.counts();
     tracing::info!(
         queued_jobs = counts.queued_jobs,
--- a/crates/node/tests/customers.rs
+++ b/crates/node/tests/customers.rs
@@ -11,7 +11,7 @@
 use stoatwell_model::CustomerName;
 use stoatwell_model::Resources;
 use stoatwell_node::Denied;
-use stoatwell_node::Known;
+use stoatwell_node::JobLookup;
 use stoatwell_node::Manifest;
 use stoatwell_node::Node;
 use stoatwell_node::Queue;
@@ -132,17 +132,17 @@
     let gateway = node.gateway();
     let [a, b] = ["a", "b"].map(CustomerName::new);
     assert_eq!(gateway.submit(JobId(7), &owned("a"), in_ms(2_000)).await, Accepted::Yes);
-    let queued = Known::State(JobState::Queued);
+    let queued = JobLookup::State(JobState::Queued);
     assert_eq!(gateway.state(JobId(7), Some(&a)).await, queued);
     for stranger in [Some(&b), None] {
-        assert_eq!(gateway.state(JobId(7), stranger).await, Known::NoJob);
+        assert_eq!(gateway.state(JobId(7), stranger).await, JobLookup::NoJob);
         assert_eq!(gateway.cancel(JobId(7), stranger, in_ms(2_000)).await, None);
     }
     assert_eq!(gateway.submit(JobId(7), &owned("b"), in_ms(2_000)).await, Accepted::Taken);
     assert_eq!(gateway.state(JobId(7), Some(&a)).await, queued);
     node.stop().await;
     // Without a leader the rows tell the same.
-    assert_eq!(gateway.state(JobId(7), Some(&b)).await, Known::NoJob);
+    assert_eq!(gateway.state(JobId(7), Some(&b)).await, JobLookup::NoJob);
     assert_eq!(gateway.submit(JobId(7), &owned("b"), in_ms(2_000)).await, Accepted::Taken);
     assert_eq!(gateway.state(JobId(7), Some(&a)).await, queued);
 }
--- a/crates/node/tests/daemons.rs
+++ b/crates/node/tests/daemons.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stoatwell_node::Known;
-use stoatwell_node::Outside;
+use stoatwell_node::JobLookup;
+use stoatwell_node::Platform;
 use stoatwell_node::Query;
 use stoatwell_node::StoreError;
 use stoatwell_node::Table;
@@ -101,7 +101,7 @@
     assert_eq!(second.gateway().submit(JobId(7), &job(), in_ms(2_000)).await, Accepted::Yes);
     first.stop().await;
     until("the next scheduler", 1_000, || second.scheduler().is_some()).await;
-    assert_eq!(second.gateway().state(JobId(7), None).await, Known::State(JobState::Queued));
+    assert_eq!(second.gateway().state(JobId(7), None).await, JobLookup::State(JobState::Queued));
 }
 
 /// A caller asks a daemon that does not schedule, about jobs there are and
@@ -113,12 +113,12 @@
     until("a scheduler", 3_000, || first.scheduler().is_some()).await;
     let second = start("b", &store).await;
     assert_eq!(first.gateway().submit(JobId(7), &job(), in_ms(2_000)).await, Accepted::Yes);
-    assert_eq!(second.gateway().state(JobId(7), None).await, Known::State(JobState::Queued));
-    assert_eq!(second.gateway().state(JobId(8), None).await, Known::NoJob);
+    assert_eq!(second.gateway().state(JobId(7), None).await, JobLookup::State(JobState::Queued));
+    assert_eq!(second.gateway().state(JobId(8), None).await, JobLookup::NoJob);
     assert_eq!(second.gateway().cancel(JobId(7), None, in_ms(2_000)).await, Some(Accepted::Yes));
     assert_eq!(second.gateway().cancel(JobId(8), None, in_ms(2_000)).await, None);
     tokio::time::sleep(Duration::from_millis(400)).await;
-    assert_eq!(second.gateway().state(JobId(7), None).await, Known::State(JobState::Cancelled));
+    assert_eq!(second.gateway().state(JobId(7), None).await, JobLookup::State(JobState::Cancelled));
 }
 
 /// The store answers a new scheduler's first readings with what was there before
@@ -160,7 +160,10 @@
         tokio::time::sleep(Duration::from_millis(600)).await;
         doomed.shutdown_background();
         until("the next scheduler", 1_500, || second.scheduler().is_some()).await;
-        assert_eq!(second.gateway().state(JobId(7), None).await, Known::State(JobState::Queued));
+        assert_eq!(
+            second.gateway().state(JobId(7), None).await,
+            JobLookup::State(JobState::Queued)
+        );
     });
 }
 
@@ -202,7 +205,7 @@
     until("the next scheduler", 2_000, || third.scheduler().is_some()).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
     assert_eq!(second.gateway().submit(JobId(9), &job(), in_ms(2_000)).await, Accepted::Yes);
-    assert_eq!(second.gateway().state(JobId(9), None).await, Known::State(JobState::Queued));
+    assert_eq!(second.gateway().state(JobId(9), None).await, JobLookup::State(JobState::Queued));
 }
 
 /// A worker answers hundreds of starts at one moment, as after a store outage that held
@@ -220,7 +223,7 @@
     until("all starts", 5_000, || store.first_starts() == TASKS).await;
     store.answer_first_starts();
     let end = in_ms(8_000);
-    while node.gateway().state(JobId(7), None).await != Known::State(JobState::Completed) {
+    while node.gateway().state(JobId(7), None).await != JobLookup::State(JobState::Completed) {
         assert!(Instant::now() < end, "the job is not completed");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
--- a/crates/node/tests/fake/mod.rs
+++ b/crates/node/tests/fake/mod.rs
@@ -16,7 +16,7 @@
 use stoatwell_model::ZoneName;
 use stoatwell_node::Confirmation;
 use stoatwell_node::Manifest;
-use stoatwell_node::Outside;
+use stoatwell_node::Platform;
 use stoatwell_node::Row;
 use stoatwell_node::Rows;
 use stoatwell_node::StoreError;
@@ -207,7 +207,7 @@
     }
 }
 
-impl Outside for Fake {
+impl Platform for Fake {
     async fn transact(&self, transaction: &Transaction) -> Result<u64, StoreError> {
         match self.mood() {
             Mood::Well => self.write(transaction),
@@ -239,7 +239,12 @@
         Ok(Rows { rows: self.rows(table), version: self.version() })
     }
 
-    async fn follow(&self, table: Table, after: u64, wait_ms: u64) -> Result<Rows, StoreError> {
+    async fn poll_changes(
+        &self,
+        table: Table,
+        after: u64,
+        wait_ms: u64,
+    ) -> Result<Rows, StoreError> {
         let rounds = wait_ms / 20 + 1;
         for _ in 0..rounds {
             if self.mood() == Mood::TurnsAway {
@@ -270,7 +275,11 @@
         Ok(WorkerChanges { listed: listed.collect(), ..WorkerChanges::default() })
     }
 
-    async fn follow_workers(&self, _after: u64, _wait: u64) -> Result<WorkerChanges, StoreError> {
+    async fn poll_worker_changes(
+        &self,
+        _after: u64,
+        _wait: u64,
+    ) -> Result<WorkerChanges, StoreError> {
         Ok(WorkerChanges::default())
     }
 
@@ -296,7 +305,7 @@
         }
     }
 
-    async fn follow_manifest(
+    async fn poll_manifest(
         &self,
         after: u64,
         wait_ms: u64,
--- a/crates/node/tests/inbox.rs
+++ b/crates/node/tests/inbox.rs
@@ -37,7 +37,7 @@
     assert!(matches!(first[0], Message::Event(Event::Unlisted { .. })), "{first:?}");
     assert!(matches!(first[1], Message::Event(Event::Cancelled { .. })), "{first:?}");
     assert!(matches!(first[2], Message::Event(Event::Customers { .. })), "{first:?}");
-    assert!(matches!(first[3], Message::Deposed), "{first:?}");
+    assert!(matches!(first[3], Message::LeadershipLost), "{first:?}");
 }
 
 /// Guards against a leader that decides all the time and hears a few hundred messages for
@@ -80,5 +80,5 @@
     senders.notify(answer());
     assert!(matches!(inbox.recv().await, Some(Message::Event(Event::Committed { .. }))));
     senders.depose();
-    assert!(matches!(inbox.recv().await, Some(Message::Deposed)));
+    assert!(matches!(inbox.recv().await, Some(Message::LeadershipLost)));
 }
