--- a/crates/node/src/accept.rs
+++ b/crates/node/src/accept.rs
@@ -1,9 +1,9 @@
-//! Makes submissions and cancellations durable, many in one transaction.
+//! Group commit of submissions and cancellations to the store.
 //!
-//! One transaction of a shard is under way at a time; what arrives meanwhile
-//! goes with the next. A write without an answer may have been done, or may be done
-//! later, so its callers are told neither "accepted" nor "not run" before a
-//! further try has shown which; its condition makes trying again harmless.
+//! Each shard has at most one transaction in flight; requests that arrive meanwhile go
+//! into the next one. A write that got no response may have been applied, or may be applied
+//! later, so its callers are told neither "accepted" nor "not run" until a retry has shown
+//! which. The write is conditional on the row's absence, which makes the retry idempotent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,181 +30,193 @@
 use crate::platform::Transaction;
 use crate::platform::shard;
 
-/// Most items of one transaction: the store takes 100 entries, and a
-/// submission needs two, its row and the condition that there is none yet.
-const BATCH_MAX: usize = 48;
-/// Most bytes of one transaction, with room for its coding; the store takes 1 MB.
+/// Maximum requests per transaction. The store accepts 100 entries, and a submission
+/// takes two: its row and the condition that the row does not exist yet.
+const BATCH_REQUESTS_MAX: usize = 48;
+/// Maximum row bytes per transaction. The store accepts 1 MB, and the rest is left for
+/// encoding overhead.
 const BATCH_BYTES_MAX: usize = 600_000;
-/// Requests that wait for a transaction of one shard at one time. Beyond it a
-/// daemon is choked and says so at once.
-const WAITING_MAX: usize = 400;
-/// A refusal by the store is tried again after this ...
-const REFUSED_PAUSE: Duration = Duration::from_millis(60);
+/// Maximum requests queued per shard. A daemon with a full queue is overloaded and rejects
+/// further requests immediately.
+const QUEUE_MAX: usize = 400;
+/// Delay before a write that the store refused is retried ...
+const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(60);
 /// ... this many times, which outlasts the second in which a full part drains
 /// only in part: callers are told to come back instead.
-const REFUSED_TRIES: u32 = 4;
-/// After a write without answer.
-const DOUBT_PAUSE: Duration = Duration::from_millis(30);
+const REFUSED_ATTEMPTS_MAX: u32 = 4;
+/// Delay before a write that got no response is retried.
+const IN_DOUBT_RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// What is to be made durable.
+/// A write to make durable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WriteRequest {
-    /// A job, with its row.
+    /// Submits a job; the bytes are its encoded row.
     Submit(JobId, Vec<u8>),
-    /// A cancellation.
+    /// Cancels a job.
     Cancel(JobId),
 }
 
 #[derive(Debug)]
-struct Waiting {
-    item: WriteRequest,
-    answer: oneshot::Sender<Accepted>,
+struct PendingRequest {
+    request: WriteRequest,
+    reply: oneshot::Sender<Accepted>,
     deadline: Instant,
     in_doubt: bool,
     refusals: u32,
 }
 
-/// Makes items durable.
+/// Queues requests and commits them in batches.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
-    shards: Vec<mpsc::Sender<Waiting>>,
+    shards: Vec<mpsc::Sender<PendingRequest>>,
     health: Arc<StoreHealth>,
 }
 
 impl Acceptor {
-    /// Starts the tasks that write, one for each shard.
-    pub fn start(outside: Arc<impl Platform>, health: Arc<StoreHealth>) -> Self {
+    /// Spawns one writer task per shard.
+    pub fn start(platform: Arc<impl Platform>, health: Arc<StoreHealth>) -> Self {
         let mut shards = Vec::with_capacity(PARTS);
         for _ in 0..PARTS {
-            let (items, queue) = mpsc::channel(WAITING_MAX);
-            tokio::spawn(write(Arc::clone(&outside), Arc::clone(&health), queue));
-            shards.push(items);
+            let (requests, queue) = mpsc::channel(QUEUE_MAX);
+            tokio::spawn(run_writer(Arc::clone(&platform), Arc::clone(&health), queue));
+            shards.push(requests);
         }
         Self { shards, health }
     }
 
-    /// Makes one item durable, or tells that it could not be.
-    pub async fn accept(&self, item: WriteRequest, deadline: Instant) -> Accepted {
+    /// Makes one request durable. Returns [`Accepted::No`] without a write if the store is
+    /// down or the queue is full, and [`Accepted::Unknown`] if no result came before the
+    /// deadline.
+    pub async fn accept(&self, request: WriteRequest, deadline: Instant) -> Accepted {
         if self.health.is_down() {
             return Accepted::No;
         }
-        let (answer, answered) = oneshot::channel();
-        let waiting = Waiting { item, answer, deadline, in_doubt: false, refusals: 0 };
-        let items = match shard(Table::Jobs, &waiting.item.job().to_string()) {
-            Shard::Jobs(number) => self.shards.get(number),
+        let (reply, replied) = oneshot::channel();
+        let pending = PendingRequest { request, reply, deadline, in_doubt: false, refusals: 0 };
+        let requests = match shard(Table::Jobs, &pending.request.job().to_string()) {
+            Shard::Jobs(index) => self.shards.get(index),
             Shard::Control => None,
         };
-        if items.is_none_or(|items| items.try_send(waiting).is_err()) {
+        if requests.is_none_or(|requests| requests.try_send(pending).is_err()) {
             return Accepted::No;
         }
-        match timeout_at(deadline, answered).await {
-            Ok(answer) => answer.unwrap_or(Accepted::Unknown),
+        match timeout_at(deadline, replied).await {
+            Ok(reply) => reply.unwrap_or(Accepted::Unknown),
             Err(_) => Accepted::Unknown,
         }
     }
 }
 
-async fn write(
-    outside: Arc<impl Platform>,
+async fn run_writer(
+    platform: Arc<impl Platform>,
     health: Arc<StoreHealth>,
-    mut queue: mpsc::Receiver<Waiting>,
+    mut queue: mpsc::Receiver<PendingRequest>,
 ) {
-    let mut batch: Vec<Waiting> = Vec::new();
+    let mut batch: Vec<PendingRequest> = Vec::new();
     loop {
         if batch.is_empty() {
             let Some(first) = queue.recv().await else { return };
             batch.push(first);
         }
-        fill(&mut batch, &mut queue, &health);
-        expire(&mut batch);
+        fill_batch(&mut batch, &mut queue, &health);
+        reject_expired(&mut batch);
         if batch.is_empty() {
             continue;
         }
-        let write = transaction(&batch);
+        let transaction = build_transaction(&batch);
         let write_timeout = health.write_timeout();
-        let answered = async {
-            let answered = timeout(write_timeout, outside.transact(&write)).await;
-            answered.unwrap_or(Err(StoreError::NoAnswer))
+        let write = async {
+            let result = timeout(write_timeout, platform.transact(&transaction)).await;
+            result.unwrap_or(Err(StoreError::NoAnswer))
         };
-        match health.track_write(answered).await {
+        match health.track_write(write).await {
             Ok(_) => {
-                for done in batch.drain(..) {
-                    settle(done, Accepted::Yes);
+                for pending in batch.drain(..) {
+                    complete(pending, Accepted::Yes);
                 }
             }
             Err(StoreError::Conflict(rows)) => {
-                // Those jobs are durable already; the others go again.
-                let exists = |waiting: &Waiting| match waiting.item {
+                // The conflicting jobs are durable already; the rest is retried without them.
+                let exists = |pending: &PendingRequest| match pending.request {
                     WriteRequest::Submit(id, _) => rows.iter().any(|(table, row)| {
                         *table == Table::Jobs && row.version > 0 && row.key == id.to_string()
                     }),
                     WriteRequest::Cancel(_) => false,
                 };
-                let (there, rest): (Vec<Waiting>, Vec<Waiting>) = batch.drain(..).partition(exists);
-                batch = rest;
-                for done in there {
-                    let answer = match &done.item {
+                let (existing, remaining): (Vec<PendingRequest>, Vec<PendingRequest>) =
+                    batch.drain(..).partition(exists);
+                batch = remaining;
+                for pending in existing {
+                    let reply = match &pending.request {
                         WriteRequest::Submit(job, row) => existing_job_outcome(*job, row, &rows),
                         WriteRequest::Cancel(_) => Accepted::Yes,
                     };
-                    settle(done, answer);
+                    complete(pending, reply);
                 }
             }
             Err(StoreError::NoAnswer) => {
-                give_up_doubtful(&mut batch);
-                tracing::warn!(
-                    items = batch.len(),
-                    "store did not answer a write, it is tried again"
-                );
-                tokio::time::sleep(DOUBT_PAUSE).await;
+                give_up_in_doubt(&mut batch);
+                tracing::warn!(items = batch.len(), "store did not respond to a write; retrying");
+                tokio::time::sleep(IN_DOUBT_RETRY_DELAY).await;
             }
             Err(StoreError::Refused | StoreError::HistoryLost) => {
-                refuse(&mut batch);
-                tokio::time::sleep(REFUSED_PAUSE).await;
+                record_refusals(&mut batch);
+                tokio::time::sleep(REFUSED_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// What becomes of a job that is there already: the same one, unless it is another
-/// customer's.
-pub(crate) fn existing_job_outcome(job: JobId, mine: &[u8], rows: &[(Table, Row)]) -> Accepted {
+/// The outcome of submitting a job ID that is already stored: a repeat of the same
+/// submission is accepted, unless the stored job belongs to another customer.
+pub(crate) fn existing_job_outcome(
+    job: JobId,
+    submitted: &[u8],
+    rows: &[(Table, Row)],
+) -> Accepted {
     let key = job.to_string();
-    let there = rows.iter().find(|(table, row)| *table == Table::Jobs && row.key == key);
-    let Some(theirs) = there.and_then(|(_, row)| row.value.as_ref()) else { return Accepted::Yes };
-    if customer_of(theirs) == customer_of(mine) { Accepted::Yes } else { Accepted::Taken }
+    let existing = rows.iter().find(|(table, row)| *table == Table::Jobs && row.key == key);
+    let Some(stored) = existing.and_then(|(_, row)| row.value.as_ref()) else {
+        return Accepted::Yes;
+    };
+    if customer_of(stored) == customer_of(submitted) { Accepted::Yes } else { Accepted::Taken }
 }
 
 fn customer_of(row: &[u8]) -> Option<CustomerName> {
     #[derive(Deserialize)]
-    struct Owned {
+    struct JobOwner {
         #[serde(default)]
         customer: Option<CustomerLimits>,
     }
-    serde_json::from_slice::<Owned>(row).ok()?.customer.map(|customer| customer.name)
+    serde_json::from_slice::<JobOwner>(row).ok()?.customer.map(|customer| customer.name)
 }
 
-/// Adds what waits. While the store does not answer, what was not sent yet is
-/// refused at once: its caller can go to a daemon that still reaches the store.
-fn fill(batch: &mut Vec<Waiting>, queue: &mut mpsc::Receiver<Waiting>, health: &StoreHealth) {
-    let mut bytes: usize = batch.iter().map(|waiting| waiting.item.bytes()).sum();
-    while batch.len() < BATCH_MAX && bytes < BATCH_BYTES_MAX {
+/// Moves queued requests into the batch. While the store is down, requests that were never
+/// sent are rejected immediately, so that their callers can go to a daemon that still
+/// reaches the store.
+fn fill_batch(
+    batch: &mut Vec<PendingRequest>,
+    queue: &mut mpsc::Receiver<PendingRequest>,
+    health: &StoreHealth,
+) {
+    let mut bytes: usize = batch.iter().map(|pending| pending.request.bytes()).sum();
+    while batch.len() < BATCH_REQUESTS_MAX && bytes < BATCH_BYTES_MAX {
         let Ok(next) = queue.try_recv() else { return };
         if health.is_down() {
-            settle(next, Accepted::No);
+            complete(next, Accepted::No);
             continue;
         }
-        bytes += next.item.bytes();
+        bytes += next.request.bytes();
         batch.push(next);
     }
 }
 
-/// One entry for each job, also where it was submitted twice at the same time.
-fn transaction(batch: &[Waiting]) -> Transaction {
+/// Builds the transaction, with one entry per job even if the batch has the same job twice.
+fn build_transaction(batch: &[PendingRequest]) -> Transaction {
     let mut transaction = Transaction::default();
     let mut seen = std::collections::BTreeSet::new();
-    for waiting in batch {
-        match &waiting.item {
+    for pending in batch {
+        match &pending.request {
             WriteRequest::Submit(id, row) => {
                 if !seen.insert((true, *id)) {
                     continue;
@@ -222,46 +234,48 @@
     transaction
 }
 
-fn expire(batch: &mut Vec<Waiting>) {
+fn reject_expired(batch: &mut Vec<PendingRequest>) {
     let now = Instant::now();
-    let (late, rest): (Vec<Waiting>, Vec<Waiting>) =
-        batch.drain(..).partition(|waiting| waiting.deadline <= now);
-    *batch = rest;
-    for waiting in late {
-        let answer = if waiting.in_doubt { Accepted::Unknown } else { Accepted::No };
-        settle(waiting, answer);
+    let (expired, remaining): (Vec<PendingRequest>, Vec<PendingRequest>) =
+        batch.drain(..).partition(|pending| pending.deadline <= now);
+    *batch = remaining;
+    for pending in expired {
+        let reply = if pending.in_doubt { Accepted::Unknown } else { Accepted::No };
+        complete(pending, reply);
     }
 }
 
-/// A write that brought no answer twice is given up: its callers are told that
-/// nobody knows, while they still have time to ask again elsewhere.
-fn give_up_doubtful(batch: &mut Vec<Waiting>) {
-    let (again, first): (Vec<Waiting>, Vec<Waiting>) =
-        batch.drain(..).partition(|waiting| waiting.in_doubt);
-    *batch = first;
-    for waiting in batch.iter_mut() {
-        waiting.in_doubt = true;
+/// Gives up on requests whose write got no response a second time. Their callers are told
+/// that the outcome is unknown while they still have time to retry at another daemon.
+fn give_up_in_doubt(batch: &mut Vec<PendingRequest>) {
+    let (unanswered_twice, unanswered_once): (Vec<PendingRequest>, Vec<PendingRequest>) =
+        batch.drain(..).partition(|pending| pending.in_doubt);
+    *batch = unanswered_once;
+    for pending in batch.iter_mut() {
+        pending.in_doubt = true;
     }
-    for waiting in again {
-        settle(waiting, Accepted::Unknown);
+    for pending in unanswered_twice {
+        complete(pending, Accepted::Unknown);
     }
 }
 
-fn refuse(batch: &mut Vec<Waiting>) {
-    for waiting in batch.iter_mut() {
-        waiting.refusals += 1;
+fn record_refusals(batch: &mut Vec<PendingRequest>) {
+    for pending in batch.iter_mut() {
+        pending.refusals += 1;
     }
-    let over = |waiting: &Waiting| !waiting.in_doubt && waiting.refusals >= REFUSED_TRIES;
-    let (refused, rest): (Vec<Waiting>, Vec<Waiting>) = batch.drain(..).partition(over);
-    *batch = rest;
-    for waiting in refused {
-        settle(waiting, Accepted::No);
+    let is_exhausted =
+        |pending: &PendingRequest| !pending.in_doubt && pending.refusals >= REFUSED_ATTEMPTS_MAX;
+    let (refused, remaining): (Vec<PendingRequest>, Vec<PendingRequest>) =
+        batch.drain(..).partition(is_exhausted);
+    *batch = remaining;
+    for pending in refused {
+        complete(pending, Accepted::No);
     }
 }
 
-fn settle(waiting: Waiting, answer: Accepted) {
-    if waiting.answer.send(answer).is_err() {
-        tracing::debug!(item = ?waiting.item.job(), "the caller left before the store answered");
+fn complete(pending: PendingRequest, outcome: Accepted) {
+    if pending.reply.send(outcome).is_err() {
+        tracing::debug!(item = ?pending.request.job(), "caller disconnected before the store responded");
     }
 }
 
--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -1,10 +1,10 @@
-//! Whether the store answers, and how fast.
+//! Health of the store as this daemon sees it: whether it responds, and how fast.
 //!
-//! While it does not, what comes is refused at once, and a small reading asks
-//! again and again whether it is back: no caller's write is risked for that, and
-//! everybody here learns of the return with the first answer. Calls that were sent
-//! into an outage are given up then; their answers never come, and waiting for their
-//! own limits would lose a second more.
+//! While the store is down, incoming requests are rejected immediately and a small read
+//! probes it periodically. Probing puts no caller's write at risk, and the first response
+//! tells the whole daemon that the store has recovered. Calls that were sent during the
+//! outage are abandoned at that point: they never get a response, and waiting for their own
+//! timeouts would cost another second.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU32;
@@ -22,106 +22,111 @@
 use crate::platform::StoreError;
 use crate::platform::Table;
 
-/// Calls without answer, or refused, in a row after which the store counts as down.
-const FAILURES_MAX: u32 = 2;
-/// With an answer in this time the store is not down as a whole, whatever else failed:
-/// some of its parts may be.
-const ANSWERS_ELSEWHERE_MS: u64 = 300;
-/// A write that waits longer than this, with no other answered since, makes the
-/// store suspect. What comes meanwhile is refused at once instead of waiting behind it.
-const SUSPECT_MIN_MS: u64 = 350;
-/// The same in usual answer times, for a store that has turned slow.
-const SUSPECT_ANSWERS: u64 = 3;
-/// The shortest and longest time that a write of a job waits for its answer ...
+/// Consecutive calls without response, or refused, after which the store counts as down.
+const CONSECUTIVE_FAILURES_MAX: u32 = 2;
+/// If the store responded to any call within this time, it is not down as a whole even if
+/// other calls failed; some of its partitions may be.
+const RECENT_RESPONSE_MS: u64 = 300;
+/// A write that is pending for longer than this, with no other write answered since, makes
+/// the store suspect. Requests that arrive meanwhile are rejected immediately instead of
+/// queueing behind it.
+const SUSPECT_AFTER_MIN_MS: u64 = 350;
+/// The same threshold as a multiple of the smoothed latency, for a store that has become
+/// slow.
+const SUSPECT_LATENCY_FACTOR: u64 = 3;
+/// Range of the timeout for a write of jobs ...
 const WRITE_TIMEOUT_MS: std::ops::RangeInclusive<u64> = 700..=1_500;
-/// ... and the same in usual answer times.
-const WRITE_TIMEOUT_ANSWERS: u64 = 4;
-/// The newest answer counts for one part in this many.
-const SMOOTHING: u64 = 8;
-/// How often it is looked whether the store is down, and asked whether it is back.
-const PROBE_EVERY: Duration = Duration::from_millis(100);
-/// How long one such question waits; a store that is sixty times slower than usual
-/// still answers in time.
-const PROBE_LIMIT: Duration = Duration::from_secs(1);
-/// With no answer at all for this long, calls under way were sent into an outage. A
-/// slow store answers something meanwhile, and its calls are worth waiting for.
+/// ... which is this multiple of the smoothed latency.
+const WRITE_TIMEOUT_LATENCY_FACTOR: u64 = 4;
+/// Weight of a new latency sample in the moving average is one over this.
+const LATENCY_SMOOTHING: u64 = 8;
+/// How often the store's health is checked, and the store probed while it is down.
+const PROBE_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout of a probe. A store that is sixty times slower than usual still responds in time.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// If the store responded to nothing for this long, the calls in flight were sent during an
+/// outage. A slow store responds to some calls in this time, and its calls are worth
+/// waiting for.
 const OUTAGE_MS: u64 = 800;
 
-/// What recent calls have shown.
+/// Health of the store, derived from the results of recent calls.
 #[derive(Debug)]
 pub struct StoreHealth {
-    failures: AtomicU32,
+    consecutive_failures: AtomicU32,
     latency_ms: AtomicU64,
-    /// Since when a write waits with none answered since; 0 is none.
-    waiting_ms: AtomicU64,
-    /// When the store last answered anything; 0 is never.
-    answered_ms: AtomicU64,
-    /// Counts the outages that have ended.
-    returns: watch::Sender<u64>,
+    /// Since when a write is pending with no other write answered; 0 if there is none.
+    unanswered_since_ms: AtomicU64,
+    /// When the store last responded to any call; 0 if never.
+    last_response_ms: AtomicU64,
+    /// Number of outages that have ended.
+    recoveries: watch::Sender<u64>,
 }
 
 impl Default for StoreHealth {
     fn default() -> Self {
         Self {
-            failures: AtomicU32::default(),
+            consecutive_failures: AtomicU32::default(),
             latency_ms: AtomicU64::default(),
-            waiting_ms: AtomicU64::default(),
-            answered_ms: AtomicU64::default(),
-            returns: watch::Sender::new(0),
+            unanswered_since_ms: AtomicU64::default(),
+            last_response_ms: AtomicU64::default(),
+            recoveries: watch::Sender::new(0),
         }
     }
 }
 
 impl StoreHealth {
-    /// Waits for a write's answer and takes note of how it went.
+    /// Awaits a write and records its result and latency. Returns [`StoreError::NoAnswer`]
+    /// early if the store recovers from an outage meanwhile.
     pub async fn track_write(
         &self,
         call: impl Future<Output = Result<u64, StoreError>>,
     ) -> Result<u64, StoreError> {
         let sent_ms = steady_ms();
-        if self.waiting_ms.load(Ordering::Relaxed) == 0 {
-            self.waiting_ms.store(sent_ms, Ordering::Relaxed);
+        if self.unanswered_since_ms.load(Ordering::Relaxed) == 0 {
+            self.unanswered_since_ms.store(sent_ms, Ordering::Relaxed);
         }
-        // One that was given up says nothing of the store as it is now.
-        let Some(result) = self.unless_lost(call).await else { return Err(StoreError::NoAnswer) };
+        // An abandoned call says nothing about the present state of the store.
+        let Some(result) = self.abort_on_recovery(call).await else {
+            return Err(StoreError::NoAnswer);
+        };
         self.record_result(&result);
         if result.is_ok() {
-            self.note_answer(steady_ms().saturating_sub(sent_ms));
+            self.record_latency(steady_ms().saturating_sub(sent_ms));
         }
         result
     }
 
-    /// Waits for a reading, but not beyond the end of an outage: what was sent into
-    /// one is not answered any more.
+    /// Awaits a read. Returns [`StoreError::NoAnswer`] early if the store recovers from an
+    /// outage meanwhile, since reads sent during an outage get no response.
     pub async fn track_read<T>(
         &self,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        self.unless_lost(call).await.unwrap_or(Err(StoreError::NoAnswer))
+        self.abort_on_recovery(call).await.unwrap_or(Err(StoreError::NoAnswer))
     }
 
-    async fn unless_lost<T>(&self, call: impl Future<Output = T>) -> Option<T> {
-        let mut returns = self.returns.subscribe();
+    async fn abort_on_recovery<T>(&self, call: impl Future<Output = T>) -> Option<T> {
+        let mut recoveries = self.recoveries.subscribe();
         tokio::select! {
             biased;
             result = call => Some(result),
-            _ = returns.changed() => None,
+            _ = recoveries.changed() => None,
         }
     }
 
-    /// How long a write of a job waits for its answer.
+    /// The timeout for a write of jobs, scaled with the store's latency.
     pub fn write_timeout(&self) -> Duration {
-        let usual_ms = self.latency_ms() * WRITE_TIMEOUT_ANSWERS;
-        Duration::from_millis(usual_ms.clamp(*WRITE_TIMEOUT_MS.start(), *WRITE_TIMEOUT_MS.end()))
+        let scaled_ms = self.latency_ms() * WRITE_TIMEOUT_LATENCY_FACTOR;
+        Duration::from_millis(scaled_ms.clamp(*WRITE_TIMEOUT_MS.start(), *WRITE_TIMEOUT_MS.end()))
     }
 
-    /// Takes note of how a call went.
+    /// Records the result of a call.
     pub fn record_result<T>(&self, result: &Result<T, StoreError>) {
         match result {
             Err(StoreError::NoAnswer | StoreError::Refused) => {
-                self.waiting_ms.store(0, Ordering::Relaxed);
-                let before = self.failures.fetch_add(1, Ordering::Relaxed);
-                if before + 1 == FAILURES_MAX {
+                self.unanswered_since_ms.store(0, Ordering::Relaxed);
+                let before = self.consecutive_failures.fetch_add(1, Ordering::Relaxed);
+                if before + 1 == CONSECUTIVE_FAILURES_MAX {
                     tracing::warn!(
                         dependency = "store",
                         "lost: new jobs are refused until it answers"
@@ -129,77 +134,81 @@
                 }
             }
             Ok(_) | Err(StoreError::Conflict(_) | StoreError::HistoryLost) => {
-                self.note_up();
-                self.waiting_ms.store(0, Ordering::Relaxed);
+                self.record_response();
+                self.unanswered_since_ms.store(0, Ordering::Relaxed);
             }
         }
     }
 
-    /// The store answered, so it is not down. Writes that wait may still be held up by
-    /// a slow part of it, unless they were sent into an outage.
-    fn note_up(&self) {
+    /// Records that the store responded, so it is not down. Pending writes may still be
+    /// waiting for a slow partition, unless they were sent during an outage.
+    fn record_response(&self) {
         let now_ms = steady_ms();
         let was_down = self.is_down();
-        let failures = self.failures.swap(0, Ordering::Relaxed);
-        let silent_ms = now_ms.saturating_sub(self.answered_ms.swap(now_ms, Ordering::Relaxed));
-        if failures >= FAILURES_MAX {
+        let consecutive_failures = self.consecutive_failures.swap(0, Ordering::Relaxed);
+        let silent_ms =
+            now_ms.saturating_sub(self.last_response_ms.swap(now_ms, Ordering::Relaxed));
+        if consecutive_failures >= CONSECUTIVE_FAILURES_MAX {
             tracing::info!(dependency = "store", silent_ms, "regained");
         }
         if was_down && silent_ms >= OUTAGE_MS {
-            self.waiting_ms.store(0, Ordering::Relaxed);
-            self.returns.send_modify(|count| *count += 1);
+            self.unanswered_since_ms.store(0, Ordering::Relaxed);
+            self.recoveries.send_modify(|count| *count += 1);
         }
     }
 
-    /// Takes note of how long an answer took.
-    fn note_answer(&self, took_ms: u64) {
-        let before = self.latency_ms.load(Ordering::Relaxed);
-        let after =
-            if before == 0 { took_ms } else { (before * (SMOOTHING - 1) + took_ms) / SMOOTHING };
-        self.latency_ms.store(after.max(1), Ordering::Relaxed);
+    /// Adds a sample to the smoothed latency.
+    fn record_latency(&self, sample_ms: u64) {
+        let previous_ms = self.latency_ms.load(Ordering::Relaxed);
+        let smoothed_ms = if previous_ms == 0 {
+            sample_ms
+        } else {
+            (previous_ms * (LATENCY_SMOOTHING - 1) + sample_ms) / LATENCY_SMOOTHING
+        };
+        self.latency_ms.store(smoothed_ms.max(1), Ordering::Relaxed);
     }
 
-    /// Whether writes are pointless now.
+    /// Whether new requests should be rejected without a call to the store.
     pub fn is_down(&self) -> bool {
-        let failing = self.failures.load(Ordering::Relaxed) >= FAILURES_MAX;
-        let answered_ms = self.answered_ms.load(Ordering::Relaxed);
-        let silent = steady_ms().saturating_sub(answered_ms) > ANSWERS_ELSEWHERE_MS;
+        let failing = self.consecutive_failures.load(Ordering::Relaxed) >= CONSECUTIVE_FAILURES_MAX;
+        let last_response_ms = self.last_response_ms.load(Ordering::Relaxed);
+        let silent = steady_ms().saturating_sub(last_response_ms) > RECENT_RESPONSE_MS;
         (failing && silent) || self.is_suspect()
     }
 
     fn is_suspect(&self) -> bool {
-        let since_ms = self.waiting_ms.load(Ordering::Relaxed);
-        let allowed_ms = SUSPECT_MIN_MS.max(self.latency_ms() * SUSPECT_ANSWERS);
+        let since_ms = self.unanswered_since_ms.load(Ordering::Relaxed);
+        let allowed_ms = SUSPECT_AFTER_MIN_MS.max(self.latency_ms() * SUSPECT_LATENCY_FACTOR);
         since_ms > 0 && steady_ms().saturating_sub(since_ms) > allowed_ms
     }
 
-    /// The usual answer time.
+    /// The smoothed write latency; 0 before the first successful write.
     pub fn latency_ms(&self) -> u64 {
         self.latency_ms.load(Ordering::Relaxed)
     }
 }
 
-/// Asks a store that is down whether it is back, for the whole life of a daemon.
+/// Probes the store while it is down; runs for the lifetime of the daemon.
 ///
-/// Questions overlap: one that was sent into the outage brings no answer, also after
-/// its end, and the next one must not wait for it.
-pub async fn probe<O: Platform>(outside: Arc<O>, health: Arc<StoreHealth>) {
-    let mut questions = JoinSet::new();
+/// Probes overlap: one that was sent during the outage gets no response even after the
+/// store has recovered, and the next probe must not wait for it.
+pub async fn probe<P: Platform>(platform: Arc<P>, health: Arc<StoreHealth>) {
+    let mut probes = JoinSet::new();
     loop {
-        tokio::time::sleep(PROBE_EVERY).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
         if !health.is_down() {
-            questions.abort_all();
-            while questions.try_join_next().is_some() {}
+            probes.abort_all();
+            while probes.try_join_next().is_some() {}
             continue;
         }
-        let outside = Arc::clone(&outside);
+        let platform = Arc::clone(&platform);
         let health = Arc::clone(&health);
-        questions.spawn(async move {
-            let answered = timeout(PROBE_LIMIT, outside.read(Table::Duty, DUTY_KEY)).await;
+        probes.spawn(async move {
+            let answered = timeout(PROBE_TIMEOUT, platform.read(Table::Duty, DUTY_KEY)).await;
             if let Ok(Ok(_)) = answered {
-                health.note_up();
+                health.record_response();
             }
         });
-        while questions.try_join_next().is_some() {}
+        while probes.try_join_next().is_some() {}
     }
 }
