--- a/crates/node/src/elector.rs
+++ b/crates/node/src/elector.rs
@@ -1,4 +1,4 @@
-//! Watches the duty, and takes it over when it is free.
+//! Leader election: watches the leader lease in the store and claims it when it is free.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,46 +28,46 @@
 use crate::platform::Transaction;
 use crate::scheduler::Liveness;
 
-/// How long a look at the duty's row waits for a change.
-const LOOK_WAIT_MS: u64 = 1_000;
-/// How long a daemon that hardly ever leads leaves the duty's row alone while the leader
-/// says that it is well.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
-/// After a look that failed.
-const LOOK_PAUSE: Duration = Duration::from_millis(150);
-/// How often a daemon tries to announce itself.
-const ANNOUNCE_TRIES: u32 = 40;
-/// Questions to the scheduler that wait at one time.
-const QUERIES_MAX: usize = 1_024;
+/// Maximum time that a poll of the lease row waits for a change.
+const LEASE_POLL_WAIT_MS: u64 = 1_000;
+/// Delay between polls of the lease row on a daemon that is unlikely to lead, while the
+/// leader reports that it is healthy.
+const LEASE_POLL_DELAY: Duration = Duration::from_secs(2);
+/// Delay before a failed poll or a failed announcement is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Maximum attempts of a daemon to announce itself in the store.
+const ANNOUNCE_ATTEMPTS_MAX: u32 = 40;
+/// Maximum queries queued for the scheduler.
+const QUERY_QUEUE_MAX: usize = 1_024;
 
-/// Follows the duty for the whole life of a daemon.
+/// Takes part in leader election for the lifetime of a daemon.
 #[derive(Debug)]
-pub struct LeaderElector<O> {
-    /// Who this daemon is.
+pub struct LeaderElector<P> {
+    /// This daemon's name, address and capacity.
     pub settings: NodeSettings,
-    /// The outside world.
-    pub outside: Arc<O>,
-    /// Whether the store answers.
+    /// The store that holds the lease.
+    pub platform: Arc<P>,
+    /// Health of the store.
     pub health: Arc<StoreHealth>,
-    /// Told who schedules.
-    pub gateway: Arc<Gateway<O>>,
-    /// Told which daemons there are.
-    pub advisors: Arc<Advisors<O>>,
-    /// The way to other daemons.
+    /// Receives each change of leader.
+    pub gateway: Arc<Gateway<P>>,
+    /// Passed to the scheduler while this daemon leads.
+    pub advisors: Arc<Advisors<P>>,
+    /// Client for calls to other daemons.
     pub peers: Peers,
-    /// Fires when the daemon stops.
+    /// Becomes true when the daemon stops.
     pub stop: tokio::sync::watch::Receiver<bool>,
-    /// Told whether this daemon schedules.
+    /// Publishes the scheduler's query channel while this daemon leads, `None` otherwise.
     pub leading: tokio::sync::watch::Sender<Option<mpsc::Sender<Query>>>,
 }
 
-impl<O: Platform> LeaderElector<O> {
-    /// Watches, and schedules whenever the duty is won, until the daemon stops.
+impl<P: Platform> LeaderElector<P> {
+    /// Watches the lease, and leads whenever it is acquired, until the daemon stops.
     pub async fn run(self) {
         let mut stop = self.stop.clone();
         let incarnation = unix_ms();
         tokio::spawn(announce(
-            Arc::clone(&self.outside),
+            Arc::clone(&self.platform),
             Arc::clone(&self.health),
             self.settings.clone(),
         ));
@@ -77,13 +77,13 @@
             if *stop.borrow() {
                 break;
             }
-            let looked = tokio::select! {
-                looked = self.look(&mut view, &mut after) => looked,
+            let polled = tokio::select! {
+                polled = self.poll_lease(&mut view, &mut after) => polled,
                 _ = stop.wait_for(|stop| *stop) => break,
             };
-            if !looked || steady_ms() < self.claim_ms(&view) {
+            if !polled || steady_ms() < self.claim_ms(&view) {
                 tokio::select! {
-                    () = self.rest(&view) => {}
+                    () = self.delay_next_poll(&view) => {}
                     _ = stop.wait_for(|stop| *stop) => break,
                 }
                 continue;
@@ -103,12 +103,12 @@
         self.withdraw().await;
     }
 
-    /// Takes this daemon's row away; nothing is asked through it any more.
+    /// Removes this daemon's row, so that no more calls are sent through it.
     async fn withdraw(&self) {
         let remove = vec![(Table::Daemons, self.settings.name.clone())];
         let transaction = Transaction { remove, ..Transaction::default() };
-        if let Err(error) = self.outside.transact(&transaction).await {
-            tracing::warn!(%error, "this daemon's row stays; calls through it will fail");
+        if let Err(error) = self.platform.transact(&transaction).await {
+            tracing::warn!(%error, "removing this daemon's row failed; calls through it will fail");
         }
     }
 
@@ -122,27 +122,28 @@
     }
 
     fn claim_ms(&self, view: &DutyView) -> u64 {
-        view.claim_ms(&self.fitness(), self.gateway.scheduler_liveness(view.epoch()))
+        view.claim_ms(&self.fitness(), self.gateway.leader_liveness(view.epoch()))
     }
 
-    /// Looks at the duty's row once, waiting for a change as long as no claim is due.
-    async fn look(&self, view: &mut DutyView, after: &mut Option<u64>) -> bool {
-        let liveness = self.gateway.scheduler_liveness(view.epoch());
-        let mut scheduler = self.gateway.watch_scheduler();
+    /// Reads the lease row once, waiting for a change as long as no claim is due. `false` if
+    /// the row was not read, or the liveness of the leader changed meanwhile.
+    async fn poll_lease(&self, view: &mut DutyView, after: &mut Option<u64>) -> bool {
+        let liveness = self.gateway.leader_liveness(view.epoch());
+        let mut leader = self.gateway.subscribe_leader();
         let epoch = view.epoch();
         let result = match *after {
-            None => self.health.track_read(self.read_duty(after)).await,
+            None => self.health.track_read(self.read_lease(after)).await,
             Some(version) => tokio::select! {
-                followed = self.health.track_read(self.follow_duty(version, view, after)) => followed,
-                // A claim may be due sooner now.
-                _ = scheduler.wait_for(|view| view.liveness_of(epoch) != liveness) => return false,
+                changes = self.health.track_read(self.poll_lease_changes(version, view, after)) => changes,
+                // A claim may be due earlier now.
+                _ = leader.wait_for(|view| view.liveness_of(epoch) != liveness) => return false,
             },
         };
         match result {
             Ok(None) => true,
             Ok(Some(row)) => {
                 view.saw(row, steady_ms());
-                self.notify_gateway(view);
+                self.publish_leader(view);
                 true
             }
             Err(StoreError::HistoryLost) => {
@@ -150,58 +151,58 @@
                 false
             }
             Err(error) => {
-                tracing::debug!(%error, "the duty cannot be looked at");
+                tracing::debug!(%error, "polling the leader lease failed; retrying");
                 view.note_unwritable(steady_ms());
-                tokio::time::sleep(LOOK_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
                 false
             }
         }
     }
 
-    /// Leaves the row alone for a while, if others are there to miss its holder first. The
-    /// row changes with each renewal, and to follow it is most of what hundreds of daemons
-    /// ask of the store.
-    async fn rest(&self, view: &DutyView) {
+    /// Delays the next poll of the lease row if enough other daemons would notice the failure
+    /// of its holder first. The row changes with each renewal, and polling it makes up most of
+    /// the store's load from hundreds of daemons.
+    async fn delay_next_poll(&self, view: &DutyView) {
         let epoch = view.epoch();
-        let well = |liveness| liveness == Liveness::Healthy;
+        let is_healthy = |liveness| liveness == Liveness::Healthy;
         if !is_underprovisioned(self.settings.cores)
             || !self.gateway.has_enough_candidates()
-            || !well(self.gateway.scheduler_liveness(epoch))
+            || !is_healthy(self.gateway.leader_liveness(epoch))
         {
             return;
         }
-        let mut scheduler = self.gateway.watch_scheduler();
-        let unwell = scheduler.wait_for(|view| !well(view.liveness_of(epoch)));
+        let mut leader = self.gateway.subscribe_leader();
+        let unhealthy = leader.wait_for(|view| !is_healthy(view.liveness_of(epoch)));
         tokio::select! {
-            _ = unwell => {}
-            () = tokio::time::sleep(LOOK_EVERY) => {}
+            _ = unhealthy => {}
+            () = tokio::time::sleep(LEASE_POLL_DELAY) => {}
         }
     }
 
-    async fn read_duty(
+    async fn read_lease(
         &self,
         after: &mut Option<u64>,
     ) -> Result<Option<Option<(DutyRow, u64)>>, StoreError> {
-        let rows = self.outside.read_all(Table::Duty).await?;
+        let rows = self.platform.read_all(Table::Duty).await?;
         *after = Some(rows.version);
-        Ok(Some(rows.rows.iter().find_map(duty_row)))
+        Ok(Some(rows.rows.iter().find_map(parse_lease_row)))
     }
 
-    async fn follow_duty(
+    async fn poll_lease_changes(
         &self,
         version: u64,
         view: &DutyView,
         after: &mut Option<u64>,
     ) -> Result<Option<Option<(DutyRow, u64)>>, StoreError> {
         let due_ms = self.claim_ms(view).saturating_sub(steady_ms());
-        let wait_ms = due_ms.min(LOOK_WAIT_MS);
-        let rows = self.outside.poll_changes(Table::Duty, version, wait_ms).await?;
+        let wait_ms = due_ms.min(LEASE_POLL_WAIT_MS);
+        let rows = self.platform.poll_changes(Table::Duty, version, wait_ms).await?;
         *after = Some(rows.version);
         let newest = rows.rows.iter().rev().find(|row| row.key == DUTY_KEY);
-        Ok(newest.map(duty_row))
+        Ok(newest.map(parse_lease_row))
     }
 
-    fn notify_gateway(&self, view: &DutyView) {
+    fn publish_leader(&self, view: &DutyView) {
         let Some((row, _)) = &view.row else { return };
         let address = (!row.released).then(|| row.address.clone());
         self.gateway.observe_leader(row.epoch, address);
@@ -223,7 +224,7 @@
             put: vec![(Table::Duty, DUTY_KEY.to_owned(), encode(&row))],
             remove: Vec::new(),
         };
-        match self.health.track_write(self.outside.transact(&transaction)).await {
+        match self.health.track_write(self.platform.transact(&transaction)).await {
             Ok(version) => {
                 let before = view.row.as_ref().map(|(row, _)| row.holder.as_str());
                 let silent_ms = steady_ms().saturating_sub(view.changed_ms);
@@ -232,8 +233,8 @@
                 Ok(Held { row, version, won_ms: steady_ms() })
             }
             Err(error) => {
-                // Without an answer the claim may still succeed; the next look tells.
-                tracing::info!(epoch, %error, "duty not taken over");
+                // A claim without response may still succeed; the next poll shows whether it did.
+                tracing::info!(epoch, %error, "claim of the leader lease failed");
                 Err(error)
             }
         }
@@ -241,12 +242,12 @@
 
     async fn lead(&self, held: Held) {
         let epoch = held.row.epoch;
-        let (queries, inbox) = mpsc::channel(QUERIES_MAX);
+        let (queries, received_queries) = mpsc::channel(QUERY_QUEUE_MAX);
         self.gateway.observe_leader(epoch, Some(self.settings.address.clone()));
-        self.gateway.set_scheduler_here(Some(queries.clone()));
+        self.gateway.set_local_leader(Some(queries.clone()));
         self.leading.send_replace(Some(queries));
         let lead = Lead {
-            outside: Arc::clone(&self.outside),
+            outside: Arc::clone(&self.platform),
             held,
             limits: self.settings.limits,
             health: Arc::clone(&self.health),
@@ -254,37 +255,37 @@
             peers: self.peers.clone(),
             gateway: Arc::clone(&self.gateway),
             me: self.settings.member(),
-            queries: inbox,
+            queries: received_queries,
             stop: self.stop.clone(),
         };
         lead.run().await;
         self.leading.send_replace(None);
         self.gateway.observe_leader(epoch, None);
-        self.gateway.set_scheduler_here(None);
+        self.gateway.set_local_leader(None);
         tracing::info!(epoch, "duty ended");
     }
 }
 
-/// Tells other daemons where this one is, so that the scheduler can ask the advisor
+/// Writes this daemon's address to the store, so that the leader can query the advisor
 /// through it.
-async fn announce<O: Platform>(outside: Arc<O>, health: Arc<StoreHealth>, settings: NodeSettings) {
+async fn announce<P: Platform>(platform: Arc<P>, health: Arc<StoreHealth>, settings: NodeSettings) {
     let put = vec![(Table::Daemons, settings.name.clone(), encode(&settings.member()))];
     let transaction = Transaction { put, ..Transaction::default() };
-    for _ in 0..ANNOUNCE_TRIES {
-        match health.track_write(outside.transact(&transaction)).await {
+    for _ in 0..ANNOUNCE_ATTEMPTS_MAX {
+        match health.track_write(platform.transact(&transaction)).await {
             Ok(_) => return,
-            Err(error) => tracing::warn!(%error, "this daemon cannot be announced yet"),
+            Err(error) => tracing::warn!(%error, "announcing this daemon in the store failed"),
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-fn duty_row(row: &Row) -> Option<(DutyRow, u64)> {
+fn parse_lease_row(row: &Row) -> Option<(DutyRow, u64)> {
     let value = row.value.as_ref().filter(|_| row.key == DUTY_KEY)?;
     match serde_json::from_slice(value) {
-        Ok(duty) => Some((duty, row.version)),
+        Ok(lease) => Some((lease, row.version)),
         Err(error) => {
-            tracing::warn!(%error, "the duty's row cannot be read");
+            tracing::warn!(%error, "leader lease row cannot be parsed; treating it as absent");
             None
         }
     }
--- a/crates/node/src/gateway.rs
+++ b/crates/node/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What callers ask of a daemon, whichever it is.
+//! Serves callers on every daemon, and answers calls from other daemons.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -45,152 +45,157 @@
 use crate::scheduler::SchedulerView;
 use crate::store_watcher::read_row;
 
-/// How long the scheduler may take to answer before the store is asked:
-/// several round trips between regions.
-const SCHEDULER_LIMIT: Duration = Duration::from_millis(400);
+/// Timeout of a call to the leader, after which the store is read instead: several round
+/// trips between regions.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long another daemon may take to make something durable.
-const KEEP_LIMIT: Duration = Duration::from_millis(1_200);
+/// Maximum time for another daemon to make a cancellation durable.
+const PEER_CANCEL_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// How long a leader that seems well may take to make a submission durable before this
-/// daemon tries by itself. With a slow store two writers of one row only hold each other up.
-const LEADER_PATIENCE: Duration = Duration::from_secs(2);
+/// How long a leader that appears healthy may take to make a submission durable before this
+/// daemon writes it itself. With a slow store, two writers of the same row only delay each
+/// other.
+const LEADER_SUBMIT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Daemons fit to lead from which on the others leave it to them: some may be lost at once.
-const FIT_DAEMONS_MIN: u32 = 4;
+/// With at least this many daemons that are fit to lead, the others leave leading to them.
+/// It is more than one because several may be lost at once.
+const CANDIDATES_MIN: u32 = 4;
 
-/// What the leader said of a submission.
+/// The leader's reply to a submission.
 #[derive(Clone, Copy, Debug)]
-enum Told {
-    /// What became of it.
+enum LeaderReply {
+    /// The leader reported the outcome.
     Outcome(Accepted),
-    /// It was not handed in.
-    Nothing,
-    /// It was handed in, and what became of it is not known.
-    Silent,
+    /// The submission did not reach a leader.
+    NotSent,
+    /// The submission was sent, and its outcome is unknown.
+    NoAnswer,
 }
 
-/// Answers callers.
+/// Serves callers.
 #[derive(Debug)]
-pub struct Gateway<O> {
-    outside: Arc<O>,
+pub struct Gateway<P> {
+    platform: Arc<P>,
     acceptor: Acceptor,
     peers: Peers,
     health: Arc<StoreHealth>,
     manifest: Arc<CurrentManifest>,
-    scheduler: watch::Sender<SchedulerView>,
-    executor: Executor<O>,
-    /// Daemons that this one knows of while it leads, and those among them that are fit to.
-    daemons: AtomicU32,
-    fit_daemons: AtomicU32,
+    leader: watch::Sender<SchedulerView>,
+    executor: Executor<P>,
+    /// Number of daemons in the pool, as far as the leader knows, and of those fit to lead.
+    member_count: AtomicU32,
+    candidate_count: AtomicU32,
 }
 
-/// What a caller learns of a job.
+/// The result of looking up a job for a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobLookup {
-    /// It stands so.
+    /// The job's state.
     State(JobState),
     /// The caller has no such job.
     NoJob,
-    /// Nothing could tell now.
+    /// The state could not be determined now.
     Unknown,
 }
 
-impl<O: Platform> Gateway<O> {
-    /// A gateway that knows no scheduler yet.
+impl<P: Platform> Gateway<P> {
+    /// Creates a gateway that does not know the leader yet.
     pub fn new(
-        outside: Arc<O>,
+        platform: Arc<P>,
         acceptor: Acceptor,
         peers: Peers,
         health: Arc<StoreHealth>,
         manifest: Arc<CurrentManifest>,
     ) -> Self {
-        let executor = Executor::new(Arc::clone(&outside));
-        let scheduler = watch::Sender::default();
-        let daemons = AtomicU32::default();
-        let fit_daemons = AtomicU32::default();
+        let executor = Executor::new(Arc::clone(&platform));
+        let leader = watch::Sender::default();
+        let member_count = AtomicU32::default();
+        let candidate_count = AtomicU32::default();
         Self {
-            outside,
+            platform,
             acceptor,
             peers,
             health,
             manifest,
-            scheduler,
+            leader,
             executor,
-            daemons,
-            fit_daemons,
+            member_count,
+            candidate_count,
         }
     }
 
-    /// Takes note of who holds the duty.
+    /// Records who holds the leader lease; `None` as the address if it was released.
     pub(crate) fn observe_leader(&self, epoch: u64, address: Option<String>) {
-        self.scheduler.send_modify(|view| view.saw(epoch, address));
+        self.leader.send_modify(|view| view.saw(epoch, address));
     }
 
-    /// Takes note that this daemon schedules, or does no more.
-    pub(crate) fn set_scheduler_here(&self, here: Option<mpsc::Sender<Query>>) {
-        self.scheduler.send_modify(|view| view.set_here(here));
+    /// Records the query channel of the scheduler on this daemon; `None` if this daemon no
+    /// longer leads.
+    pub(crate) fn set_local_leader(&self, queries: Option<mpsc::Sender<Query>>) {
+        self.leader.send_modify(|view| view.set_here(queries));
     }
 
-    /// Takes note of whether a holder of the duty lives.
+    /// Records the liveness of the leader of an epoch.
     pub(crate) fn note_liveness(&self, epoch: u64, liveness: Liveness) {
-        self.scheduler.send_if_modified(|view| view.note_liveness(epoch, liveness));
+        self.leader.send_if_modified(|view| view.note_liveness(epoch, liveness));
     }
 
-    /// Whether a holder of the duty lives.
-    pub(crate) fn scheduler_liveness(&self, epoch: u64) -> Liveness {
-        self.scheduler.borrow().liveness_of(epoch)
+    /// The liveness of the leader of an epoch.
+    pub(crate) fn leader_liveness(&self, epoch: u64) -> Liveness {
+        self.leader.borrow().liveness_of(epoch)
     }
 
-    /// Tells of changes to what is known of the scheduler.
-    pub(crate) fn watch_scheduler(&self) -> watch::Receiver<SchedulerView> {
-        self.scheduler.subscribe()
+    /// Subscribes to changes of what this daemon knows about the leader.
+    pub(crate) fn subscribe_leader(&self) -> watch::Receiver<SchedulerView> {
+        self.leader.subscribe()
     }
 
-    /// Updates how many daemons there are, and how many are fit to lead, as the leader
-    /// knows.
-    pub(crate) fn set_daemons(&self, count: u32, fit: u32) {
-        self.daemons.store(count, Ordering::Relaxed);
-        self.fit_daemons.store(fit, Ordering::Relaxed);
+    /// Sets the number of daemons and the number of them that are fit to lead, as the leader
+    /// counted them.
+    pub(crate) fn set_member_counts(&self, members: u32, candidates: u32) {
+        self.member_count.store(members, Ordering::Relaxed);
+        self.candidate_count.store(candidates, Ordering::Relaxed);
     }
 
-    /// Whether several daemons are fit to lead, for all that is known.
+    /// Whether enough daemons are fit to lead, by the last counts from the leader.
     pub(crate) fn has_enough_candidates(&self) -> bool {
-        self.fit_daemons.load(Ordering::Relaxed) >= FIT_DAEMONS_MIN
+        self.candidate_count.load(Ordering::Relaxed) >= CANDIDATES_MIN
     }
 
-    /// Whether the store answers others, so that a caller that is turned away here is
-    /// served at once elsewhere.
+    /// Whether the store responds to the leader, so that a caller that is rejected here is
+    /// served by another daemon without delay.
     pub fn leader_reaches_store(&self) -> bool {
-        self.scheduler.borrow().is_healthy()
+        self.leader.borrow().is_healthy()
     }
 
-    /// Whether the store answers.
+    /// Whether the store responds to this daemon.
     pub fn is_store_up(&self) -> bool {
         !self.health.is_down()
     }
 
-    /// Takes note of the leader's proof, and gets its manifest if that is newer.
-    pub(crate) async fn note_proof(&self, leader: &str, passed: RelayedProof, asked_ms: u64) {
-        if passed.version <= self.manifest.newest().version {
-            let proof = Proof::from_peer(passed.version, passed.age_ms, asked_ms);
+    /// Records the leader's proof that the manifest is current, and fetches the leader's
+    /// manifest if it is newer. `asked_ms` is when the leader was asked for the proof.
+    pub(crate) async fn note_proof(&self, leader: &str, relayed: RelayedProof, asked_ms: u64) {
+        if relayed.version <= self.manifest.newest().version {
+            let proof = Proof::from_peer(relayed.version, relayed.age_ms, asked_ms);
             self.manifest.note_proof(proof);
             return;
         }
         let asked_ms = steady_ms();
-        let reply = self.peers.call(leader, &NodeCall::Manifest, SCHEDULER_LIMIT).await;
+        let reply = self.peers.call(leader, &NodeCall::Manifest, LEADER_TIMEOUT).await;
         let Ok(NodeReply::Manifest { manifest, proof }) = reply else { return };
         let Some(manifest) = executors::call::decode::<Manifest>(&manifest) else { return };
         self.manifest.replace_if_newer(manifest);
         self.manifest.note_proof(Proof::from_peer(proof.version, proof.age_ms, asked_ms));
     }
 
-    /// The manifest that callers are held against.
+    /// The manifest that callers are authenticated against.
     pub(crate) fn manifest(&self) -> &Arc<CurrentManifest> {
         &self.manifest
     }
 
-    /// Makes a job durable.
+    /// Submits a job and makes it durable. [`Accepted::Unknown`] if the outcome could not be
+    /// learned in time.
     pub async fn submit(
         self: &Arc<Self>,
         job: JobId,
@@ -198,7 +203,7 @@
         deadline: Instant,
     ) -> Accepted {
         let row = encode(spec);
-        let accepted = self.make_durable(job, row, deadline).await;
+        let accepted = self.make_submission_durable(job, row, deadline).await;
         let customer = spec.customer.as_ref().map(|customer| customer.name.as_str());
         tracing::info!(%job, queue = spec.queue.name, customer, ?accepted, "submission answered");
         metrics::counter!("stoatwell_submissions_total", "outcome" => outcome_name(accepted))
@@ -206,7 +211,7 @@
         accepted
     }
 
-    /// Makes a cancellation durable, if the caller has such a job.
+    /// Cancels a job and makes the cancellation durable; `None` if the caller has no such job.
     pub async fn cancel(
         self: &Arc<Self>,
         job: JobId,
@@ -222,56 +227,56 @@
                 Accepted::Yes
             }
             JobLookup::Unknown => Accepted::Unknown,
-            _ => self.keep_cancel(job, deadline).await,
+            _ => self.make_cancel_durable(job, deadline).await,
         };
         if accepted == Accepted::Yes {
-            self.notify_scheduler(NodeCall::Cancelled(job));
+            self.notify_leader(NodeCall::Cancelled(job));
         }
         tracing::info!(%job, ?known, ?accepted, "cancellation answered");
         Some(accepted)
     }
 
-    /// Makes a submission durable, if possible through the leader: it has the job placed
-    /// meanwhile, and writes many in one call. While the leader is silent, this daemon
-    /// writes the row itself; both writes are of the same row under the condition that it
-    /// is not there.
-    async fn make_durable(
+    /// Makes a submission durable, through the leader if possible: the leader places the job
+    /// meanwhile and batches many submissions into one write. If the leader does not respond,
+    /// this daemon writes the row itself. Both writes are of the same row and conditional on
+    /// its absence.
+    async fn make_submission_durable(
         self: &Arc<Self>,
         job: JobId,
         row: Vec<u8>,
         deadline: Instant,
     ) -> Accepted {
-        let mut leader = pin!(self.submit_to_leader(job, row.clone(), deadline));
-        let told = tokio::select! {
+        let mut through_leader = pin!(self.submit_through_leader(job, row.clone(), deadline));
+        let leader_reply = tokio::select! {
             biased;
-            told = &mut leader => Some(told),
-            () = self.leader_falls_silent() => None,
+            reply = &mut through_leader => Some(reply),
+            () = self.wait_until_leader_fails() => None,
         };
-        let mut here = pin!(self.accept_here(job, row, deadline));
-        match told {
-            Some(Told::Outcome(accepted)) => accepted,
-            Some(Told::Nothing) => here.await,
-            Some(Told::Silent) => in_doubt(here.await),
+        let mut local = pin!(self.accept_locally(job, row, deadline));
+        match leader_reply {
+            Some(LeaderReply::Outcome(accepted)) => accepted,
+            Some(LeaderReply::NotSent) => local.await,
+            Some(LeaderReply::NoAnswer) => in_doubt_outcome(local.await),
             None => tokio::select! {
-                accepted = &mut here => match accepted {
+                accepted = &mut local => match accepted {
                     Accepted::Yes | Accepted::Taken => accepted,
-                    Accepted::No | Accepted::Unknown => match leader.await {
-                        Told::Outcome(Accepted::No) | Told::Nothing => accepted,
-                        Told::Outcome(accepted) => accepted,
-                        Told::Silent => Accepted::Unknown,
+                    Accepted::No | Accepted::Unknown => match through_leader.await {
+                        LeaderReply::Outcome(Accepted::No) | LeaderReply::NotSent => accepted,
+                        LeaderReply::Outcome(accepted) => accepted,
+                        LeaderReply::NoAnswer => Accepted::Unknown,
                     },
                 },
-                told = &mut leader => match told {
-                    Told::Outcome(Accepted::No) | Told::Nothing => here.await,
-                    Told::Outcome(accepted) => accepted,
-                    Told::Silent => in_doubt(here.await),
+                reply = &mut through_leader => match reply {
+                    LeaderReply::Outcome(Accepted::No) | LeaderReply::NotSent => local.await,
+                    LeaderReply::Outcome(accepted) => accepted,
+                    LeaderReply::NoAnswer => in_doubt_outcome(local.await),
                 },
             },
         }
     }
 
-    /// Writes a job's row and tells the leader.
-    async fn accept_here(
+    /// Writes a job's row from this daemon and notifies the leader.
+    async fn accept_locally(
         self: &Arc<Self>,
         job: JobId,
         row: Vec<u8>,
@@ -279,136 +284,145 @@
     ) -> Accepted {
         let accepted = self.acceptor.accept(WriteRequest::Submit(job, row.clone()), deadline).await;
         if accepted == Accepted::Yes {
-            self.notify_scheduler(NodeCall::Accepted { job, row });
+            self.notify_leader(NodeCall::Accepted { job, row });
         }
         accepted
     }
 
-    async fn submit_to_leader(&self, job: JobId, row: Vec<u8>, deadline: Instant) -> Told {
+    async fn submit_through_leader(
+        &self,
+        job: JobId,
+        row: Vec<u8>,
+        deadline: Instant,
+    ) -> LeaderReply {
         let call = NodeCall::Submit { job, row };
         let address = match self.route() {
-            Route::None => return Told::Nothing,
-            Route::Here(_) if !self.is_store_up() => return Told::Nothing,
+            Route::None => return LeaderReply::NotSent,
+            Route::Here(_) if !self.is_store_up() => return LeaderReply::NotSent,
             Route::Here(queries) => {
-                let asked = timeout_at(deadline, ask_here(&queries, call)).await;
-                return match asked {
-                    Ok(Some(NodeReply::Submitted(accepted))) => Told::Outcome(accepted),
-                    Ok(_) | Err(_) => Told::Silent,
+                let reply = timeout_at(deadline, ask_local(&queries, call)).await;
+                return match reply {
+                    Ok(Some(NodeReply::Submitted(accepted))) => LeaderReply::Outcome(accepted),
+                    Ok(_) | Err(_) => LeaderReply::NoAnswer,
                 };
             }
             Route::At(address) => address,
         };
         let limit = deadline.saturating_duration_since(Instant::now());
         match self.peers.call::<NodeReply>(&address, &call, limit).await {
-            Ok(NodeReply::Submitted(accepted)) => Told::Outcome(accepted),
-            Ok(_) | Err(PeerError::NotSent(_)) => Told::Nothing,
+            Ok(NodeReply::Submitted(accepted)) => LeaderReply::Outcome(accepted),
+            Ok(_) | Err(PeerError::NotSent(_)) => LeaderReply::NotSent,
             Err(PeerError::NoAnswer(error)) => {
-                tracing::debug!(%job, address, error, "the leader did not tell of a submission");
-                Told::Silent
+                tracing::debug!(%job, address, error, "leader did not answer a submission; its outcome is unknown");
+                LeaderReply::NoAnswer
             }
         }
     }
 
-    /// Waits until the leader has taken so long, or is so surely gone, that this daemon has
-    /// to act by itself.
-    async fn leader_falls_silent(&self) {
-        let mut view = self.scheduler.subscribe();
-        let gone = view.wait_for(SchedulerView::is_unfit);
+    /// Waits until the leader is known to be unavailable, or has taken so long that this
+    /// daemon has to write the submission itself.
+    async fn wait_until_leader_fails(&self) {
+        let mut view = self.leader.subscribe();
+        let unavailable = view.wait_for(SchedulerView::is_unfit);
         tokio::select! {
-            _ = gone => {}
-            () = tokio::time::sleep(LEADER_PATIENCE) => {}
+            _ = unavailable => {}
+            () = tokio::time::sleep(LEADER_SUBMIT_TIMEOUT) => {}
         }
     }
 
-    /// Makes a cancellation durable, here or, where the store turns this daemon away,
-    /// through the scheduler's daemon, which reaches it or would not be that.
-    async fn keep_cancel(&self, job: JobId, deadline: Instant) -> Accepted {
-        let here = self.acceptor.accept(WriteRequest::Cancel(job), deadline).await;
-        if here != Accepted::No {
-            return here;
+    /// Makes a cancellation durable from this daemon or, if the store rejects this daemon,
+    /// through the leader, which could not lead without reaching the store.
+    async fn make_cancel_durable(&self, job: JobId, deadline: Instant) -> Accepted {
+        let local = self.acceptor.accept(WriteRequest::Cancel(job), deadline).await;
+        if local != Accepted::No {
+            return local;
         }
-        let Some(address) = self.scheduler_elsewhere() else { return here };
-        let limit = KEEP_LIMIT.min(deadline.saturating_duration_since(Instant::now()));
+        let Some(address) = self.remote_leader() else { return local };
+        let limit = PEER_CANCEL_TIMEOUT.min(deadline.saturating_duration_since(Instant::now()));
         let call = NodeCall::Cancel { job, limit_ms: limit.as_millis() as u64 };
         match self.peers.call::<NodeReply>(&address, &call, limit).await {
-            Ok(NodeReply::Submitted(kept)) => kept,
+            Ok(NodeReply::Submitted(accepted)) => accepted,
             Ok(_) | Err(PeerError::NotSent(_)) => Accepted::No,
             Err(PeerError::NoAnswer(error)) => {
-                tracing::warn!(%job, address, error, "a daemon did not tell whether it kept a cancellation");
+                tracing::warn!(%job, address, error, "leader did not answer a cancellation; its outcome is unknown");
                 Accepted::Unknown
             }
         }
     }
 
-    /// Makes a cancellation durable for a daemon that the store turns away. If this one
-    /// schedules, the scheduler hears of it before the other daemon's caller does: the
-    /// store's feed is slower, and the other one cannot read the store.
-    async fn keep_cancel_for_other(&self, job: JobId, limit_ms: u64) -> Accepted {
+    /// Makes a cancellation durable for a daemon that the store rejects. If this daemon
+    /// leads, its scheduler is notified before the other daemon replies to its caller: the
+    /// store's change feed is slower, and the other daemon cannot read the store.
+    async fn cancel_for_peer(&self, job: JobId, limit_ms: u64) -> Accepted {
         let deadline = Instant::now() + Duration::from_millis(limit_ms);
-        let kept = self.acceptor.accept(WriteRequest::Cancel(job), deadline).await;
-        if let (Accepted::Yes, Route::Here(queries)) = (kept, self.route())
-            && ask_here(&queries, NodeCall::Cancelled(job)).await.is_none()
+        let accepted = self.acceptor.accept(WriteRequest::Cancel(job), deadline).await;
+        if let (Accepted::Yes, Route::Here(queries)) = (accepted, self.route())
+            && ask_local(&queries, NodeCall::Cancelled(job)).await.is_none()
         {
-            tracing::debug!("the scheduler ended before it was told, the store's feed tells");
+            tracing::debug!(
+                "scheduler stopped before it was notified of a cancellation; the store's change feed will deliver it"
+            );
         }
-        kept
+        accepted
     }
 
-    fn scheduler_elsewhere(&self) -> Option<String> {
+    fn remote_leader(&self) -> Option<String> {
         match self.route() {
             Route::At(address) => Some(address),
             Route::Here(_) | Route::None => None,
         }
     }
 
-    /// Tells the scheduler of something durable, without waiting for it. The
-    /// store's feed tells it too, a quarter of a second later; with a slow store
-    /// much later.
-    fn notify_scheduler(self: &Arc<Self>, call: NodeCall) {
+    /// Notifies the leader of a durable write without waiting for its reply. The store's
+    /// change feed delivers the write too, but a quarter of a second later, and much later if
+    /// the store is slow.
+    fn notify_leader(self: &Arc<Self>, call: NodeCall) {
         let gateway = Arc::clone(self);
         tokio::spawn(async move {
-            if gateway.ask(call).await.is_none() {
-                tracing::debug!("the scheduler was not told, the store's feed will");
+            if gateway.ask_leader(call).await.is_none() {
+                tracing::debug!(
+                    "leader was not notified of a durable write; the store's change feed will deliver it"
+                );
             }
         });
     }
 
-    /// Where a job stands. One of another customer is to its caller as if it were not
-    /// there, so that nothing is learned of it.
+    /// Looks up a job's state. A job of another customer is reported as absent, so that the
+    /// caller learns nothing about it.
     pub async fn state(&self, job: JobId, caller: Option<&CustomerName>) -> JobLookup {
-        if let Some(NodeReply::State(Some(view))) = self.ask(NodeCall::State(job)).await {
-            return seen_by(&view, caller);
+        if let Some(NodeReply::State(Some(view))) = self.ask_leader(NodeCall::State(job)).await {
+            return visible_state(&view, caller);
         }
-        // The scheduler is away, or has not heard of a job just accepted.
-        match self.state_in_store(job).await {
-            Ok(Some(view)) => seen_by(&view, caller),
+        // The leader is unavailable, or has not received a job that was just accepted.
+        match self.read_state(job).await {
+            Ok(Some(view)) => visible_state(&view, caller),
             Ok(None) => JobLookup::NoJob,
             Err(error) => {
-                tracing::warn!(%job, %error, "state cannot be told");
+                tracing::warn!(%job, %error, "reading a job's state from the store failed; reporting it as unknown");
                 JobLookup::Unknown
             }
         }
     }
 
-    /// Jobs of a queue for which nothing has started; `None` when nothing can tell.
+    /// Number of jobs of a queue for which nothing has started; `None` if no leader answers.
     pub async fn pending(&self, queue: &str) -> Option<u64> {
-        match self.ask(NodeCall::Pending(queue.to_owned())).await {
+        match self.ask_leader(NodeCall::Pending(queue.to_owned())).await {
             Some(NodeReply::Pending(count)) => Some(count),
             _ => None,
         }
     }
 
-    async fn state_in_store(&self, job: JobId) -> Result<Option<JobView>, StoreError> {
+    async fn read_state(&self, job: JobId) -> Result<Option<JobView>, StoreError> {
         let key = job.to_string();
-        let row = self.outside.read(Table::Jobs, &key).await?;
+        let row = self.platform.read(Table::Jobs, &key).await?;
         let Some((_, spec)) = row.as_ref().and_then(read_row::<JobSpec>) else { return Ok(None) };
         let customer = spec.customer.map(|customer| customer.name);
         let view = |state| Some(JobView { state, customer });
-        let progress = self.outside.read(Table::Progress, &key).await?;
+        let progress = self.platform.read(Table::Progress, &key).await?;
         let progress = progress.as_ref().and_then(read_row::<Progress>);
         let progress = progress.map(|(_, progress)| progress).unwrap_or_default();
         if progress.outcome.is_none_or(|outcome| outcome == Outcome::Cancelled)
-            && self.outside.read(Table::Cancels, &key).await?.is_some()
+            && self.platform.read(Table::Cancels, &key).await?.is_some()
         {
             return Ok(view(JobState::Cancelled));
         }
@@ -416,20 +430,20 @@
     }
 
     fn route(&self) -> Route {
-        self.scheduler.borrow().route()
+        self.leader.borrow().route()
     }
 
-    /// Asks the scheduler, here or elsewhere.
-    async fn ask(&self, call: NodeCall) -> Option<NodeReply> {
+    /// Sends a call to the leader, on this daemon or another; `None` if no leader answers.
+    async fn ask_leader(&self, call: NodeCall) -> Option<NodeReply> {
         match self.route() {
             Route::None => None,
-            Route::Here(queries) => ask_here(&queries, call).await,
+            Route::Here(queries) => ask_local(&queries, call).await,
             Route::At(address) => {
-                match self.peers.call::<NodeReply>(&address, &call, SCHEDULER_LIMIT).await {
+                match self.peers.call::<NodeReply>(&address, &call, LEADER_TIMEOUT).await {
                     Ok(NodeReply::NotScheduler) => None,
                     Ok(reply) => Some(reply),
                     Err(error) => {
-                        tracing::debug!(address, %error, "the scheduler does not answer");
+                        tracing::debug!(address, %error, "call to the leader failed");
                         None
                     }
                 }
@@ -437,15 +451,17 @@
         }
     }
 
-    /// Answers another daemon.
+    /// Handles a call from another daemon.
     pub async fn answer(&self, call: NodeCall) -> NodeReply {
         if let NodeCall::Advise { step, workers, limit_ms } = call {
-            let granted = self.outside.advise(step, &workers, limit_ms).await;
-            let row = |grant: stoatwell_pool::Grant| (grant.worker, grant.ticket);
-            return NodeReply::Advised(granted.map(|all| all.into_iter().map(row).collect()));
+            let granted = self.platform.advise(step, &workers, limit_ms).await;
+            let to_pair = |grant: stoatwell_pool::Grant| (grant.worker, grant.ticket);
+            return NodeReply::Advised(
+                granted.map(|grants| grants.into_iter().map(to_pair).collect()),
+            );
         }
         if let NodeCall::Cancel { job, limit_ms } = call {
-            return NodeReply::Submitted(self.keep_cancel_for_other(job, limit_ms).await);
+            return NodeReply::Submitted(self.cancel_for_peer(job, limit_ms).await);
         }
         if let NodeCall::Leads { epoch, address } = call {
             self.observe_leader(epoch, Some(address));
@@ -472,30 +488,31 @@
         }
         let Route::Here(queries) = self.route() else { return NodeReply::NotScheduler };
         if call == NodeCall::Alive {
-            let daemons = self.daemons.load(Ordering::Relaxed);
-            let fit = self.fit_daemons.load(Ordering::Relaxed);
+            let daemons = self.member_count.load(Ordering::Relaxed);
+            let fit = self.candidate_count.load(Ordering::Relaxed);
             let manifest = self.manifest.relayed_proof(steady_ms());
             return NodeReply::Alive { reaches_store: self.is_store_up(), daemons, fit, manifest };
         }
         if matches!(call, NodeCall::Submit { .. }) && !self.is_store_up() {
-            // The caller's daemon may reach the store itself.
+            // The calling daemon may reach the store itself.
             return NodeReply::NotScheduler;
         }
-        ask_here(&queries, call).await.unwrap_or(NodeReply::NotScheduler)
+        ask_local(&queries, call).await.unwrap_or(NodeReply::NotScheduler)
     }
 }
 
-/// What became of a submission that somebody else may still make durable.
-fn in_doubt(accepted: Accepted) -> Accepted {
+/// The outcome of a submission that the leader may still make durable: "not accepted" here
+/// becomes unknown.
+fn in_doubt_outcome(accepted: Accepted) -> Accepted {
     if accepted == Accepted::No { Accepted::Unknown } else { accepted }
 }
 
-/// What a caller learns of a job.
-fn seen_by(view: &JobView, caller: Option<&CustomerName>) -> JobLookup {
+/// What a caller may see of a job.
+fn visible_state(view: &JobView, caller: Option<&CustomerName>) -> JobLookup {
     if view.customer.as_ref() == caller { JobLookup::State(view.state) } else { JobLookup::NoJob }
 }
 
-async fn ask_here(queries: &mpsc::Sender<Query>, call: NodeCall) -> Option<NodeReply> {
+async fn ask_local(queries: &mpsc::Sender<Query>, call: NodeCall) -> Option<NodeReply> {
     match call {
         NodeCall::State(job) => {
             let (answer, answered) = oneshot::channel();
--- a/crates/node/src/lead.rs
+++ b/crates/node/src/lead.rs
@@ -158,7 +158,7 @@
                     return;
                 }
                 if let Effect::Answer { job, accepted } = effect {
-                    submissions.settle(job, accepted);
+                    submissions.resolve(job, accepted);
                     continue;
                 }
                 self.carry_out(effect, &pool, &executors, &messages, &writer, &mut tasks);
@@ -206,16 +206,16 @@
             messages: messages.clone(),
         });
         let follower = Arc::new(StoreWatcher {
-            outside: Arc::clone(&self.outside),
+            platform: Arc::clone(&self.outside),
             health: Arc::clone(&self.health),
             messages: messages.clone(),
         });
         let all = async {
             tokio::join!(
-                follower.workers_and_executors(executors),
-                follower.read_since(Table::Jobs, claimed),
-                follower.read_since(Table::Cancels, claimed),
-                follower.read_since(Table::Progress, claimed),
+                follower.load_workers_and_executors(executors),
+                follower.read_at_least(Table::Jobs, claimed),
+                follower.read_at_least(Table::Cancels, claimed),
+                follower.read_at_least(Table::Progress, claimed),
             )
         };
         let (workers, jobs, cancels, progress) = tokio::select! {
@@ -375,7 +375,7 @@
 fn answer(pool: &mut Pool, submissions: &mut Submissions, query: Query, fresh: bool) {
     let asked = match query {
         Query::Submit(job, row, answer) => {
-            submissions.hand_in(pool, job, &row, answer);
+            submissions.submit(pool, job, &row, answer);
             true
         }
         Query::Accepted(job, row) => {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -9,12 +9,12 @@
 pub mod clock;
 mod commit;
 mod duty;
+mod elector;
 pub mod executors;
 mod gateway;
 mod health;
 mod inbox;
 mod lead;
-mod leader_election;
 mod manifest;
 mod members;
 mod message;
@@ -35,8 +35,8 @@
 use tokio::net::TcpListener;
 
 use crate::accept::Acceptor;
+use crate::elector::LeaderElector;
 use crate::health::StoreHealth;
-use crate::leader_election::LeaderElector;
 
 pub use crate::advisors::Advisors;
 pub use crate::duty::DutyRow;
@@ -117,13 +117,13 @@
 
 impl<O: Platform> Node<O> {
     /// Starts the daemon's tasks; peers connect to the listener.
-    pub fn start(settings: &NodeSettings, outside: Arc<O>, listener: TcpListener) -> Self {
+    pub fn start(settings: &NodeSettings, platform: Arc<O>, listener: TcpListener) -> Self {
         let health = Arc::new(StoreHealth::default());
         let manifest = Arc::new(CurrentManifest::new(settings.revoke_ms.map(ProofLimits::new)));
-        let acceptor = Acceptor::start(Arc::clone(&outside), Arc::clone(&health));
+        let acceptor = Acceptor::start(Arc::clone(&platform), Arc::clone(&health));
         let peers = Peers::new(&settings.peer_key, Traffic::default());
         let gateway = Arc::new(Gateway::new(
-            Arc::clone(&outside),
+            Arc::clone(&platform),
             acceptor,
             peers.clone(),
             Arc::clone(&health),
@@ -133,26 +133,26 @@
         let (stopped_out, stopped) = tokio::sync::watch::channel(false);
         let (leading_out, leading) = tokio::sync::watch::channel(None);
         tokio::spawn(manifest::watch(
-            Arc::clone(&outside),
+            Arc::clone(&platform),
             Arc::clone(&health),
             Arc::clone(&manifest),
         ));
         let leads = leading.clone();
-        tokio::spawn(manifest::confirm(Arc::clone(&outside), Arc::clone(&manifest), move || {
+        tokio::spawn(manifest::confirm(Arc::clone(&platform), Arc::clone(&manifest), move || {
             leads.borrow().is_some()
         }));
         tokio::spawn(serve_peers(listener, settings.peer_key.clone(), Arc::clone(&gateway)));
-        tokio::spawn(health::probe(Arc::clone(&outside), Arc::clone(&health)));
+        tokio::spawn(health::probe(Arc::clone(&platform), Arc::clone(&health)));
         tokio::spawn(scheduler::check_liveness(
             Arc::clone(&gateway),
             peers.clone(),
             duty::is_underprovisioned(settings.cores),
         ));
         let advisors =
-            Arc::new(Advisors::new(Arc::clone(&outside), peers.clone(), settings.address.clone()));
+            Arc::new(Advisors::new(Arc::clone(&platform), peers.clone(), settings.address.clone()));
         let watch = LeaderElector {
             settings: settings.clone(),
-            outside,
+            platform,
             health,
             gateway: Arc::clone(&gateway),
             advisors,
--- a/crates/node/src/manifest/admission.rs
+++ b/crates/node/src/manifest/admission.rs
@@ -1,4 +1,4 @@
-//! Who may call.
+//! Authentication of callers by their key.
 
 use stoatwell_customers::Customer;
 
@@ -7,7 +7,7 @@
 use crate::manifest::Manifest;
 use crate::manifest::Queue;
 
-/// Why a caller is not let in.
+/// Why a caller is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Denied {
     /// the key is missing or unknown
@@ -17,10 +17,12 @@
 }
 
 impl CurrentManifest {
-    /// The customer that calls; none on a queue that is open to anybody.
+    /// Authenticates a caller of a queue. `Ok(None)` is an anonymous caller: the manifest has
+    /// no customers, or the queue is open to callers without a known key.
     ///
-    /// The proof is held against the present moment, which is later than the one at which
-    /// the request was sent, so a daemon that slept over a request does not let it in.
+    /// The age of the manifest's proof is checked at the present time, not at the time the
+    /// request was sent, so a daemon that was suspended while it held a request does not
+    /// admit it by an outdated proof.
     pub fn admit<'a>(
         &self,
         manifest: &'a Manifest,
--- a/crates/node/src/manifest/current.rs
+++ b/crates/node/src/manifest/current.rs
@@ -1,4 +1,5 @@
-//! The version of the manifest that a daemon goes by, and since when it may be old.
+//! The manifest that a daemon currently applies, and the proof of how long ago it was the
+//! newest.
 
 use std::sync::Arc;
 
@@ -10,12 +11,12 @@
 
 use crate::manifest::Manifest;
 
-/// The newest manifest that a daemon has seen. A version never goes back, also when a
-/// store that lags behind answers with an older one.
+/// The newest manifest that a daemon has seen. The version never decreases, even if a store
+/// that lags behind returns an older one.
 #[derive(Debug)]
 pub struct CurrentManifest {
     view: watch::Sender<View>,
-    /// How old a proof may be; none where keys are not taken away by a deadline.
+    /// How old a proof may be; `None` if the time until a key is revoked is not bounded.
     limits: Option<ProofLimits>,
 }
 
@@ -25,27 +26,29 @@
     proof: Proof,
 }
 
-/// The proof of one daemon, as another one gets it.
+/// A daemon's proof that its manifest was the newest, as it is sent to another daemon. It
+/// carries an age because the clocks of two machines are not comparable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayedProof {
-    /// The version.
+    /// The version of the manifest.
     pub version: u64,
-    /// How old the proof was when it was passed on.
+    /// Age of the proof when it was sent.
     pub age_ms: u64,
 }
 
 impl CurrentManifest {
-    /// No manifest yet.
+    /// Starts without a manifest; see [`Self::newest`]. Without limits, a manifest needs no
+    /// proof.
     pub fn new(limits: Option<ProofLimits>) -> Self {
         Self { view: watch::Sender::default(), limits }
     }
 
-    /// The newest manifest; its version is 0 before there is one.
+    /// The newest manifest; an empty one of version 0 before the first.
     pub fn newest(&self) -> Arc<Manifest> {
         Arc::clone(&self.view.borrow().manifest)
     }
 
-    /// Takes a manifest, unless it is older than the one in force.
+    /// Makes a manifest the current one if its version is higher.
     pub fn replace_if_newer(&self, manifest: Manifest) {
         self.view.send_if_modified(|view| {
             if manifest.version <= view.manifest.version {
@@ -53,47 +56,47 @@
             }
             let (version, queues) = (manifest.version, manifest.queues.len());
             let customers = manifest.customers.as_ref().map(|all| all.customers().len());
-            tracing::info!(version, queues, customers, "manifest in force");
+            tracing::info!(version, queues, customers, "new manifest applied");
             view.proof = view.proof.for_newer(version);
             view.manifest = Arc::new(manifest);
             true
         });
     }
 
-    /// Takes note of a proof.
+    /// Merges a proof with the present one.
     pub fn note_proof(&self, proof: Proof) {
         self.view.send_if_modified(|view| {
             view.proof = view.proof.learn(proof);
-            // Nobody waits for proofs.
+            // No task waits for a change of the proof.
             false
         });
     }
 
-    /// The proof to pass on.
+    /// The proof to send to another daemon.
     pub fn relayed_proof(&self, now_ms: u64) -> RelayedProof {
         let view = self.view.borrow();
         RelayedProof { version: view.manifest.version, age_ms: view.proof.age_ms(now_ms) }
     }
 
-    /// Whether keys may be held against the manifest.
+    /// Whether the manifest is recent enough to authenticate callers with it.
     pub fn is_confirmed(&self, now_ms: u64) -> bool {
         let Some(limits) = self.limits else { return true };
         let view = self.view.borrow();
         view.manifest.customers.is_none() || view.proof.is_good(now_ms, &limits)
     }
 
-    /// Whether a new proof is wanted.
+    /// Whether a new proof has to be asked for.
     pub(crate) fn is_proof_due(&self, now_ms: u64) -> bool {
         let Some(limits) = self.limits else { return false };
         let view = self.view.borrow();
         view.manifest.customers.is_some() && view.proof.is_due(now_ms, &limits)
     }
 
-    /// Waits for a newer manifest than this version.
+    /// Waits for a manifest newer than this version.
     pub(crate) async fn wait_for_newer(&self, version: u64) -> Arc<Manifest> {
         let mut view = self.view.subscribe();
         let newer = view.wait_for(|view| view.manifest.version > version).await;
-        // The sender is `self`, so it outlives the wait.
+        // `self` owns the sender, so it is not dropped during the wait.
         newer.map_or_else(|_closed| Arc::default(), |view| Arc::clone(&view.manifest))
     }
 }
--- a/crates/node/src/manifest/mod.rs
+++ b/crates/node/src/manifest/mod.rs
@@ -1,4 +1,5 @@
-//! The operators' manifest: which queues there are, where they are reached, and by whom.
+//! The operators' manifest: the queues, the hosts and paths that route to them, and the
+//! customers that may call them.
 
 mod admission;
 mod current;
@@ -18,42 +19,43 @@
 /// One version of the manifest.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// Rises with every version.
+    /// Increases with each manifest; 0 before the first.
     pub version: u64,
-    /// The version of its row in the store.
+    /// The version of the manifest's row in the store.
     pub row_version: u64,
-    /// The queues.
+    /// The queues; [`Self::find`] selects one for a request.
     pub queues: Vec<Queue>,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes_max: usize,
-    /// The customers; without any, everybody may call.
+    /// The customers and their keys. If `None`, callers need no key.
     pub customers: Option<Directory>,
 }
 
-/// A queue and where callers reach it.
+/// A queue and the route to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// The host that callers name.
+    /// The host that a request must name.
     pub host: String,
-    /// What the path begins with.
+    /// The prefix that a request's path must have.
     pub prefix: String,
-    /// How long a request may take.
+    /// Maximum time for a request.
     pub timeout_ms: u64,
-    /// Whether callers need no key.
+    /// Whether callers without a key are admitted.
     pub anonymous: bool,
-    /// The queue's rules.
+    /// The settings that apply to the queue's jobs.
     pub spec: QueueSpec,
 }
 
 impl Manifest {
-    /// The queue of the longest prefix that the path begins with.
+    /// The queue for a request: of those with this host and a prefix of the path, the one
+    /// with the longest prefix.
     pub fn find(&self, host: &str, path: &str) -> Option<&Queue> {
         let mut best: Option<&Queue> = None;
         for queue in &self.queues {
             if queue.host != host || !path.starts_with(&queue.prefix) {
                 continue;
             }
-            if best.is_none_or(|found| queue.prefix.len() > found.prefix.len()) {
+            if best.is_none_or(|best| queue.prefix.len() > best.prefix.len()) {
                 best = Some(queue);
             }
         }
--- a/crates/node/src/manifest/watch.rs
+++ b/crates/node/src/manifest/watch.rs
@@ -1,4 +1,5 @@
-//! Follows the manifest, and proves again and again that it is the newest.
+//! Watches the store for new manifests, and confirms regularly that the current one is the
+//! newest.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,92 +16,96 @@
 use crate::platform::Platform;
 use crate::platform::StoreError;
 
-/// How long a question for a newer manifest waits. One that is lost costs nothing: the
-/// leader's heartbeats tell of a newer version too.
-const WAIT_MS: u64 = 5_000;
-/// After one that failed.
-const PAUSE: Duration = Duration::from_millis(150);
-/// How often the leader asks for a proof, which the other daemons get from it.
-const LEADER_CONFIRM_EVERY: Duration = Duration::from_millis(500);
-/// How often a daemon does whose proof has grown old.
-const CONFIRM_EVERY: Duration = Duration::from_millis(200);
-/// How long such a question waits; a slow store still answers in time.
+/// How long the store holds a poll for a newer manifest open. A lost poll does no harm: the
+/// leader's replies to liveness probes announce a newer version too.
+const POLL_WAIT_MS: u64 = 5_000;
+/// Delay before a failed poll is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// How often the leader asks the store for a proof, which it relays to the other daemons.
+const LEADER_CONFIRM_INTERVAL: Duration = Duration::from_millis(500);
+/// How often a daemon whose proof needs renewal asks for one.
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(200);
+/// Timeout of a confirmation; a slow store still responds in time.
 const CONFIRM_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Keeps the newest manifest, for the whole life of a daemon.
-pub(crate) async fn watch<O: Platform>(
-    outside: Arc<O>,
+/// Keeps the current manifest up to date for the lifetime of the daemon.
+pub(crate) async fn watch<P: Platform>(
+    platform: Arc<P>,
     health: Arc<StoreHealth>,
-    in_force: Arc<CurrentManifest>,
+    current: Arc<CurrentManifest>,
 ) {
     let mut after = None;
     loop {
         let result = match after {
-            None => outside.manifest().await,
-            Some(version) => outside.poll_manifest(version, WAIT_MS).await,
+            None => platform.manifest().await,
+            Some(version) => platform.poll_manifest(version, POLL_WAIT_MS).await,
         };
         health.record_result(&result);
         match result {
             Ok((manifest, version)) => {
                 after = Some(version);
                 if let Some(manifest) = manifest {
-                    in_force.replace_if_newer(manifest);
+                    current.replace_if_newer(manifest);
                 }
             }
             Err(StoreError::HistoryLost) => after = None,
             Err(error) => {
-                tracing::debug!(%error, "the manifest cannot be followed");
-                sleep(PAUSE).await;
+                tracing::debug!(%error, "polling the manifest failed; retrying");
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Asks the store whether the manifest is the newest, for the whole life of a daemon.
+/// Asks the store regularly whether the current manifest is the newest, for the lifetime of
+/// the daemon.
 ///
-/// Readings and feeds may lag behind while the store drops its history; a transaction
-/// under the condition that the row is unchanged does not. Questions overlap, since one
-/// that was sent into an outage is never answered.
-pub(crate) async fn confirm<O: Platform>(
-    outside: Arc<O>,
-    in_force: Arc<CurrentManifest>,
+/// Reads and change feeds may lag behind while the store drops its history; a transaction
+/// that is conditional on the row being unchanged does not. Confirmations overlap, because
+/// one that was sent during an outage gets no response.
+pub(crate) async fn confirm<P: Platform>(
+    platform: Arc<P>,
+    current: Arc<CurrentManifest>,
     is_leader: impl Fn() -> bool,
 ) {
-    let mut questions = JoinSet::new();
+    let mut confirmations = JoinSet::new();
     let mut asked_ms = 0;
     loop {
-        sleep(CONFIRM_EVERY).await;
-        while questions.try_join_next().is_some() {}
+        sleep(CONFIRM_INTERVAL).await;
+        while confirmations.try_join_next().is_some() {}
         let now_ms = steady_ms();
-        let age_ms = in_force.relayed_proof(now_ms).age_ms;
+        let age_ms = current.relayed_proof(now_ms).age_ms;
         metrics::gauge!("stoatwell_manifest_proof_age_ms").set(age_ms as f64);
-        let leads_and_due =
-            is_leader() && now_ms >= asked_ms + LEADER_CONFIRM_EVERY.as_millis() as u64;
-        let manifest = in_force.newest();
-        let wanted = manifest.version > 0 && leads_and_due;
-        if !wanted && !in_force.is_proof_due(now_ms) {
+        let is_leader_due =
+            is_leader() && now_ms >= asked_ms + LEADER_CONFIRM_INTERVAL.as_millis() as u64;
+        let manifest = current.newest();
+        let confirm_as_leader = manifest.version > 0 && is_leader_due;
+        if !confirm_as_leader && !current.is_proof_due(now_ms) {
             continue;
         }
         asked_ms = now_ms;
-        let outside = Arc::clone(&outside);
-        let in_force = Arc::clone(&in_force);
-        questions.spawn(async move {
+        let platform = Arc::clone(&platform);
+        let current = Arc::clone(&current);
+        confirmations.spawn(async move {
             let sent_ms = steady_ms();
-            let asked = outside.confirm_manifest(manifest.row_version);
-            match timeout(CONFIRM_TIMEOUT, asked).await {
+            let confirmation = platform.confirm_manifest(manifest.row_version);
+            match timeout(CONFIRM_TIMEOUT, confirmation).await {
                 Ok(Ok(Confirmation::Newest)) => {
-                    in_force.note_proof(Proof::from_store(manifest.version, sent_ms));
+                    current.note_proof(Proof::from_store(manifest.version, sent_ms));
                 }
                 Ok(Ok(Confirmation::Replaced(Some(newer)))) => {
                     let version = newer.version;
-                    in_force.replace_if_newer(newer);
-                    in_force.note_proof(Proof::from_store(version, sent_ms));
+                    current.replace_if_newer(newer);
+                    current.note_proof(Proof::from_store(version, sent_ms));
                 }
                 Ok(Ok(Confirmation::Replaced(None))) => {
-                    tracing::warn!(version = manifest.version, "a newer manifest cannot be read");
+                    tracing::warn!(
+                        version = manifest.version,
+                        "a newer manifest cannot be parsed; keeping the current one"
+                    );
                 }
-                Ok(Err(error)) => tracing::debug!(%error, "the manifest cannot be confirmed"),
-                Err(_) => tracing::debug!("no answer whether the manifest is the newest"),
+                Ok(Err(error)) => tracing::debug!(%error, "confirming the manifest failed"),
+                Err(_) => tracing::debug!("confirming the manifest timed out"),
             }
         });
     }
--- a/crates/node/src/scheduler.rs
+++ b/crates/node/src/scheduler.rs
@@ -141,7 +141,7 @@
     peers: Peers,
     is_underprovisioned: bool,
 ) {
-    let mut view = gateway.watch_scheduler();
+    let mut view = gateway.subscribe_leader();
     let mut asked = None;
     let mut misses = 0;
     let mut every = PROBE_INTERVAL;
@@ -161,7 +161,7 @@
         let reply = peers.call::<NodeReply>(&address, &NodeCall::Alive, PROBE_TIMEOUT).await;
         if let Ok(NodeReply::Alive { daemons, fit, manifest, .. }) = &reply {
             every = probe_interval(is_underprovisioned, *daemons);
-            gateway.set_daemons(*daemons, *fit);
+            gateway.set_member_counts(*daemons, *fit);
             gateway.note_proof(&address, *manifest, asked_ms).await;
         }
         let liveness = match reply {
--- a/crates/node/src/store_watcher.rs
+++ b/crates/node/src/store_watcher.rs
@@ -1,4 +1,4 @@
-//! What the scheduler follows in the store: jobs, cancellations, workers, daemons.
+//! Watches the store for the leader: jobs, cancellations, workers and daemons.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,44 +26,44 @@
 use crate::platform::Table;
 use crate::platform::WorkerChanges;
 
-/// How long a question for changes waits at the store.
-const FOLLOW_WAIT_MS: u64 = 1_500;
-/// After a question for changes that failed.
-const FOLLOW_PAUSE: Duration = Duration::from_millis(100);
-/// Between two questions for changes to jobs. Daemons tell the scheduler of
-/// what they accept; the store's feed brings what they could not tell, and its
-/// calls are priced.
-const JOBS_PAUSE: Duration = Duration::from_millis(250);
-/// Between two questions for changes to the list of workers, which changes
-/// with each of their heartbeats.
-const WORKERS_PAUSE: Duration = Duration::from_millis(400);
-/// How often the scheduler reads which daemons there are.
-const DAEMONS_EVERY: Duration = Duration::from_secs(2);
-/// Workers that are missing from the list are taken for gone only after the
-/// list was readable for this long: entries come back late after an outage.
-const MISSING_GRACE_MS: u64 = 2_500;
+/// How long the store holds a poll for changes open when there are none.
+const POLL_WAIT_MS: u64 = 1_500;
+/// Delay before a failed read or poll is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Delay between two polls for changes to jobs. Daemons notify the leader of the jobs they
+/// accept; the store's change feed only has to deliver those whose notification was lost,
+/// and each call to it has a price.
+const JOBS_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Delay between two polls for changes to the list of workers, which changes with each
+/// worker heartbeat.
+const WORKERS_POLL_INTERVAL: Duration = Duration::from_millis(400);
+/// How often the leader reads the list of daemons.
+const MEMBERS_POLL_INTERVAL: Duration = Duration::from_secs(2);
+/// A worker that left the list is reported only after it was absent, and the list readable,
+/// for this long: after an outage entries reappear late.
+const UNLISTED_GRACE_MS: u64 = 2_500;
 
-/// Reads and follows what lasts, for one scheduler.
+/// Reads the stored state and watches it for changes, for one leader.
 #[derive(Debug)]
-pub(crate) struct StoreWatcher<O> {
-    /// The outside world.
-    pub outside: Arc<O>,
-    /// Whether the store answers.
+pub(crate) struct StoreWatcher<P> {
+    /// The store that is watched.
+    pub platform: Arc<P>,
+    /// Health of the store.
     pub health: Arc<StoreHealth>,
-    /// The scheduler's inbox.
+    /// The leader's inbox, which receives the changes.
     pub messages: Senders,
 }
 
-impl<O: Platform> StoreWatcher<O> {
-    /// Reads the list of workers.
+impl<P: Platform> StoreWatcher<P> {
+    /// Reads the list of workers, retrying until the store answers.
     pub async fn workers(&self) -> WorkerChanges {
-        self.persist(|| self.outside.workers()).await
+        self.retry_until_ok(|| self.platform.workers()).await
     }
 
-    /// Reads the list of workers, and opens the way to those that the leader does not
-    /// call by itself.
-    pub async fn workers_and_executors(&self, executors: &Executors<O>) -> WorkerChanges {
-        let daemons = self.persist(|| self.outside.read_all(Table::Daemons));
+    /// Reads the list of workers, and sets up the executors through which the leader reaches
+    /// workers that it does not call itself.
+    pub async fn load_workers_and_executors(&self, executors: &Executors<P>) -> WorkerChanges {
+        let daemons = self.retry_until_ok(|| self.platform.read_all(Table::Daemons));
         let (workers, daemons) = tokio::join!(self.workers(), daemons);
         let mut zones = BTreeMap::new();
         for listed in &workers.listed {
@@ -74,35 +74,35 @@
         workers
     }
 
-    /// Reads a table as it is at a version or later.
+    /// Reads a table at a version or later.
     ///
-    /// A store that lags behind may answer with what was there before the duty was
-    /// claimed. The former scheduler wrote until then; a start of its that is missing
-    /// from what is read would be made again.
-    pub async fn read_since(&self, table: Table, version: u64) -> Rows {
+    /// A store that lags behind may return the state from before this daemon claimed the
+    /// leader lease. The previous leader wrote until then, and a start of its that is missing
+    /// from the state read would be repeated.
+    pub async fn read_at_least(&self, table: Table, version: u64) -> Rows {
         loop {
-            let rows = self.persist(|| self.outside.read_all(table)).await;
+            let rows = self.retry_until_ok(|| self.platform.read_all(table)).await;
             if rows.version >= version {
                 return rows;
             }
-            tracing::warn!(%table, version, found = rows.version, "the store answers with an old state");
-            tokio::time::sleep(FOLLOW_PAUSE).await;
+            tracing::warn!(%table, version, found = rows.version, "store returned a stale table; reading again");
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Tells the scheduler of each new row of a table.
+    /// Polls a table for changes and forwards each new row to the leader's inbox.
     pub async fn watch_table(self: Arc<Self>, table: Table, mut after: u64) {
         loop {
-            let changes = self.outside.poll_changes(table, after, FOLLOW_WAIT_MS);
-            let rows = match self.health.track_read(changes).await {
+            let poll = self.platform.poll_changes(table, after, POLL_WAIT_MS);
+            let rows = match self.health.track_read(poll).await {
                 Ok(rows) => rows,
                 Err(StoreError::HistoryLost) => {
-                    tracing::warn!(%table, after, "the store dropped the history, the table is read anew");
-                    self.persist(|| self.outside.read_all(table)).await
+                    tracing::warn!(%table, after, "store no longer has the change history; reading the whole table");
+                    self.retry_until_ok(|| self.platform.read_all(table)).await
                 }
                 Err(error) => {
-                    tracing::warn!(%table, %error, "changes cannot be followed");
-                    tokio::time::sleep(FOLLOW_PAUSE).await;
+                    tracing::warn!(%table, %error, "polling a table for changes failed; retrying");
+                    tokio::time::sleep(RETRY_DELAY).await;
                     continue;
                 }
             };
@@ -110,7 +110,7 @@
             for row in &rows.rows {
                 self.forward_row(table, row);
             }
-            tokio::time::sleep(JOBS_PAUSE).await;
+            tokio::time::sleep(JOBS_POLL_INTERVAL).await;
         }
     }
 
@@ -131,81 +131,90 @@
         }
     }
 
-    /// Tells the scheduler of each change to the list of workers.
+    /// Polls the list of workers and forwards each change to the leader's inbox. A removal is
+    /// forwarded only after a grace period.
     pub async fn watch_workers(self: Arc<Self>, mut after: u64) {
-        let mut missing: BTreeMap<WorkerId, u64> = BTreeMap::new();
+        let mut unlisted_at_ms: BTreeMap<WorkerId, u64> = BTreeMap::new();
         let mut readable_since_ms = steady_ms();
         loop {
             let changes =
-                match self.health.track_read(self.outside.poll_worker_changes(after, 0)).await {
+                match self.health.track_read(self.platform.poll_worker_changes(after, 0)).await {
                     Ok(changes) => changes,
-                    // What left meanwhile is not in the new reading; its silence tells.
+                    // A full read does not show which workers were removed meanwhile; the leader
+                    // notices these by their missing responses.
                     Err(StoreError::HistoryLost) => self.workers().await,
                     Err(error) => {
-                        tracing::warn!(%error, "the list of workers cannot be followed");
-                        tokio::time::sleep(FOLLOW_PAUSE).await;
+                        tracing::warn!(%error, "polling the list of workers failed; retrying");
+                        tokio::time::sleep(RETRY_DELAY).await;
                         readable_since_ms = steady_ms();
                         continue;
                     }
                 };
             after = changes.version;
-            self.take_changes(changes, &mut missing);
+            self.apply_worker_changes(changes, &mut unlisted_at_ms);
             let now_ms = steady_ms();
-            let gone = |at: &u64| {
-                let since_ms = (*at).max(readable_since_ms);
-                now_ms > since_ms + MISSING_GRACE_MS
+            let is_gone = |at_ms: &u64| {
+                let since_ms = (*at_ms).max(readable_since_ms);
+                now_ms > since_ms + UNLISTED_GRACE_MS
             };
-            for worker in missing.extract_if(.., |_, at| gone(at)).map(|(worker, _)| worker) {
+            for worker in
+                unlisted_at_ms.extract_if(.., |_, at_ms| is_gone(at_ms)).map(|(worker, _)| worker)
+            {
                 self.messages.notify(Event::Unlisted { worker });
             }
-            tokio::time::sleep(WORKERS_PAUSE).await;
+            tokio::time::sleep(WORKERS_POLL_INTERVAL).await;
         }
     }
 
-    fn take_changes(&self, changes: WorkerChanges, missing: &mut BTreeMap<WorkerId, u64>) {
+    fn apply_worker_changes(
+        &self,
+        changes: WorkerChanges,
+        unlisted_at_ms: &mut BTreeMap<WorkerId, u64>,
+    ) {
         for worker in changes.unlisted {
-            missing.insert(worker, steady_ms());
+            unlisted_at_ms.insert(worker, steady_ms());
         }
         for listed in changes.listed {
-            missing.remove(&listed.worker);
+            unlisted_at_ms.remove(&listed.worker);
             self.messages.notify(Event::Listed(listed));
         }
     }
 
-    /// Keeps in mind which daemons there are: the advisor can be asked through them,
-    /// and they are told who schedules. One that is cut off from the store would not
-    /// learn it otherwise, and could answer its callers nothing.
+    /// Tracks the daemons of the pool: queries to the advisor go through them, and each new
+    /// one is notified of this leader. A daemon that is cut off from the store would not
+    /// learn of the leader otherwise, and could not serve its callers.
     pub async fn track_members(
         self: Arc<Self>,
-        advisors: Arc<Advisors<O>>,
-        executors: Arc<Executors<O>>,
-        gateway: Arc<Gateway<O>>,
-        leads: NodeCall,
+        advisors: Arc<Advisors<P>>,
+        executors: Arc<Executors<P>>,
+        gateway: Arc<Gateway<P>>,
+        leader_notice: NodeCall,
     ) {
-        let mut told = BTreeSet::new();
+        let mut notified = BTreeSet::new();
         loop {
-            match self.health.track_read(self.outside.read_all(Table::Daemons)).await {
+            match self.health.track_read(self.platform.read_all(Table::Daemons)).await {
                 Ok(rows) => {
                     let members = read_members(&rows.rows);
                     let known = advisors.update_members(&members);
-                    let fit = members.iter().filter(|one| !is_underprovisioned(one.cores));
-                    gateway.set_daemons(known.len() as u32, fit.count() as u32);
+                    let candidates =
+                        members.iter().filter(|member| !is_underprovisioned(member.cores));
+                    gateway.set_member_counts(known.len() as u32, candidates.count() as u32);
                     executors.update_members(members);
                     self.messages.notify(Event::Advisors { count: known.len() });
                     for address in known {
-                        if told.insert(address.clone()) {
-                            advisors.notify(address, leads.clone());
+                        if notified.insert(address.clone()) {
+                            advisors.notify(address, leader_notice.clone());
                         }
                     }
                 }
-                Err(error) => tracing::debug!(%error, "the daemons cannot be listed"),
+                Err(error) => tracing::debug!(%error, "listing the daemons failed; retrying"),
             }
-            tokio::time::sleep(DAEMONS_EVERY).await;
+            tokio::time::sleep(MEMBERS_POLL_INTERVAL).await;
         }
     }
 
-    /// Tries until it succeeds; the store may be down while the duty is held.
-    async fn persist<T, F>(&self, call: impl Fn() -> F) -> T
+    /// Retries a read until it succeeds; the store may be down while this daemon leads.
+    async fn retry_until_ok<T, F>(&self, call: impl Fn() -> F) -> T
     where
         F: Future<Output = Result<T, StoreError>>,
     {
@@ -213,20 +222,21 @@
             match self.health.track_read(call()).await {
                 Ok(value) => return value,
                 Err(error) => {
-                    tracing::warn!(%error, "state cannot be read back yet");
-                    tokio::time::sleep(FOLLOW_PAUSE).await;
+                    tracing::warn!(%error, "reading state from the store failed; retrying");
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
     }
 }
 
-/// A row's job and value; what cannot be read is somebody else's and is left out.
+/// Parses a job's row; `None` if it was removed, or if it cannot be parsed and so belongs to
+/// another writer.
 pub(crate) fn read_row<T: serde::de::DeserializeOwned>(row: &Row) -> Option<(JobId, T)> {
     let value = row.value.as_ref()?;
     if let (Ok(id), Ok(value)) = (row.key.parse(), serde_json::from_slice(value)) {
         return Some((id, value));
     }
-    tracing::warn!(key = row.key, version = row.version, "row cannot be read, left out");
+    tracing::warn!(key = row.key, version = row.version, "skipping a row that cannot be parsed");
     None
 }
--- a/crates/node/src/submissions.rs
+++ b/crates/node/src/submissions.rs
@@ -1,4 +1,4 @@
-//! Callers that wait for the leader to make their submissions durable.
+//! Submissions whose callers wait until the leader has made them durable.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,44 +12,44 @@
 use crate::clock::steady_ms;
 use crate::clock::unix_ms;
 
-/// The waiting callers of one leader.
+/// The callers that wait for one leader, by job.
 #[derive(Debug, Default)]
 pub(crate) struct Submissions {
     waiting: HashMap<JobId, Vec<oneshot::Sender<Accepted>>>,
 }
 
 impl Submissions {
-    /// Hands a submission to the pool.
-    pub fn hand_in(
+    /// Submits a job to the pool, and replies as soon as the outcome is known.
+    pub fn submit(
         &mut self,
         pool: &mut Pool,
         job: JobId,
         row: &[u8],
-        answer: oneshot::Sender<Accepted>,
+        caller: oneshot::Sender<Accepted>,
     ) {
         let spec: JobSpec = match serde_json::from_slice(row) {
             Ok(spec) => spec,
             Err(error) => {
-                tracing::warn!(%job, %error, "a daemon's submission cannot be read");
+                tracing::warn!(%job, %error, "dropping a submission that cannot be parsed");
                 return;
             }
         };
         match pool.submit(steady_ms(), unix_ms(), job, Arc::new(spec)) {
-            Some(accepted) => tell(job, answer, accepted),
-            None => self.waiting.entry(job).or_default().push(answer),
+            Some(accepted) => reply(job, caller, accepted),
+            None => self.waiting.entry(job).or_default().push(caller),
         }
     }
 
-    /// Tells the callers that wait for a submission what became of it.
-    pub fn settle(&mut self, job: JobId, accepted: Accepted) {
-        for answer in self.waiting.remove(&job).unwrap_or_default() {
-            tell(job, answer, accepted);
+    /// Replies to all callers that wait for a submission.
+    pub fn resolve(&mut self, job: JobId, accepted: Accepted) {
+        for caller in self.waiting.remove(&job).unwrap_or_default() {
+            reply(job, caller, accepted);
         }
     }
 }
 
-fn tell(job: JobId, answer: oneshot::Sender<Accepted>, accepted: Accepted) {
-    if answer.send(accepted).is_err() {
-        tracing::debug!(%job, ?accepted, "the caller left before its submission was settled");
+fn reply(job: JobId, caller: oneshot::Sender<Accepted>, accepted: Accepted) {
+    if caller.send(accepted).is_err() {
+        tracing::debug!(%job, ?accepted, "caller disconnected before its submission was resolved");
     }
 }
