--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -1,4 +1,4 @@
-//! The daemons of a pool, as they announce themselves in the store.
+//! The members of a pool: daemons announce themselves by a row in the store.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,27 +6,27 @@
 
 use crate::platform::Row;
 
-/// A daemon.
+/// A daemon of the pool, as other daemons know it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    /// Where other daemons reach it.
+    /// The address for calls from other daemons.
     pub address: String,
-    /// Its availability zone.
+    /// The availability zone of its machine.
     pub zone: ZoneName,
-    /// Its share of a core times the core's speed.
+    /// Its processor capacity: its share of a core times the core's relative speed.
     pub cores: f64,
-    /// What its machine's link carries.
+    /// The bandwidth of its machine's link, in Mbit/s.
     pub link_mbps: f64,
 }
 
-/// The daemons that rows tell of; what cannot be read is left out.
+/// Parses the rows of daemons, skipping those that cannot be parsed.
 pub fn read_members(rows: &[Row]) -> Vec<Member> {
     let mut members = Vec::with_capacity(rows.len());
     for row in rows {
         let Some(value) = &row.value else { continue };
         match serde_json::from_slice(value) {
             Ok(member) => members.push(member),
-            Err(error) => tracing::debug!(key = row.key, %error, "a daemon's row cannot be read"),
+            Err(error) => tracing::debug!(key = row.key, %error, "skipping an invalid daemon row"),
         }
     }
     members
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -1,4 +1,4 @@
-//! What the scheduler hears, and the way it reaches it.
+//! Messages to the scheduler.
 
 use stoatwell_pool::Accepted;
 use stoatwell_pool::Event;
@@ -7,32 +7,32 @@
 use stoatwell_pool::PoolDump;
 use tokio::sync::oneshot;
 
-/// A question to the scheduler.
+/// A query to the scheduler, or a notification without a reply.
 #[derive(Debug)]
 pub enum Query {
-    /// Where does a job stand?
+    /// Asks for a job's state; the reply is `None` if the scheduler does not know the job.
     State(JobId, oneshot::Sender<Option<JobView>>),
-    /// How many jobs of a queue wait?
+    /// Asks how many jobs of a queue have not started.
     Pending(String, oneshot::Sender<u64>),
-    /// Make a job durable.
+    /// Submits a job with its encoded row; the reply comes once its outcome is known.
     Submit(JobId, Vec<u8>, oneshot::Sender<Accepted>),
-    /// A job is durable.
+    /// Notifies that a job, given with its encoded row, is durable.
     Accepted(JobId, Vec<u8>),
-    /// A cancellation is durable.
+    /// Notifies that the cancellation of a job is durable.
     Cancelled(JobId),
-    /// What does it believe?
+    /// Asks for a dump of the scheduler's state.
     Dump(oneshot::Sender<PoolDump>),
-    /// Why is a job where it is?
+    /// Asks why a job is in its present state; the reply has one line per step.
     Explain(JobId, oneshot::Sender<Vec<String>>),
 }
 
-/// What the scheduler hears.
+/// A message in the scheduler's inbox.
 #[derive(Debug)]
 pub enum Message {
-    /// Something happened to the pool.
+    /// An event that changes the pool's state.
     Event(Event),
-    /// Somebody asks.
+    /// A query from a caller's daemon.
     Query(Query),
-    /// Another daemon schedules now.
+    /// This daemon no longer holds the leader lease.
     LeadershipLost,
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! What daemons ask of each other.
+//! The calls between daemons and their replies.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,110 +11,110 @@
 use crate::executors::session::SessionId;
 use crate::manifest::RelayedProof;
 
-/// A question.
+/// A call to another daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeCall {
-    /// To the scheduler: where does a job stand?
+    /// To the leader: returns a job's state.
     State(JobId),
-    /// To the scheduler: how many jobs of this queue wait?
+    /// To the leader: returns how many jobs of a queue have not started.
     Pending(String),
-    /// To the scheduler: make this job durable.
+    /// To the leader: makes a job durable.
     Submit {
-        /// The job.
+        /// The submitted job.
         job: JobId,
-        /// Its row.
+        /// The job's encoded row.
         row: Vec<u8>,
     },
-    /// To the scheduler: this job is durable.
+    /// To the leader: notifies that a job is durable.
     Accepted {
-        /// The job.
+        /// The durable job.
         job: JobId,
-        /// Its row.
+        /// The job's encoded row.
         row: Vec<u8>,
     },
-    /// To the scheduler: this cancellation is durable.
+    /// To the leader: notifies that the cancellation of a job is durable.
     Cancelled(JobId),
-    /// To a daemon that may reach the store: make this cancellation durable.
+    /// To a daemon that may reach the store: makes a cancellation durable.
     Cancel {
-        /// The job.
+        /// The job to cancel.
         job: JobId,
-        /// How long the answer may take.
+        /// Maximum time until the reply.
         limit_ms: u64,
     },
-    /// To the scheduler: does it live, and does the store answer it?
+    /// To the leader: liveness probe.
     Alive,
-    /// To any daemon: what is the newest manifest?
+    /// To any daemon: returns its newest manifest.
     Manifest,
-    /// To any daemon: this one schedules now.
+    /// To any daemon: notifies that the calling daemon leads now.
     Leads {
-        /// Which holder of the duty it is.
+        /// The epoch of the leader lease.
         epoch: u64,
-        /// Where it is reached.
+        /// The leader's address for calls from other daemons.
         address: String,
     },
-    /// To any daemon: which of these workers may run the step?
+    /// To any daemon: asks the advisor through it which of these workers may run a step.
     Advise {
-        /// The step.
+        /// The step to run.
         step: StepId,
-        /// The workers.
+        /// The workers to choose from.
         workers: Vec<WorkerId>,
-        /// How long the answer may take.
+        /// Maximum time until the reply.
         limit_ms: u64,
     },
-    /// To an executor: make these calls to workers.
+    /// To an executor: makes calls to workers.
     Execute {
-        /// The leader's session with it.
+        /// The leader's session with this executor.
         session: SessionId,
-        /// A [`Batch`](crate::executors::call::Batch), encoded.
+        /// An encoded [`Batch`](crate::executors::call::Batch).
         batch: Vec<u8>,
     },
-    /// To an executor: what did workers answer?
+    /// To an executor: returns the replies of workers.
     Collect {
-        /// The leader's session with it.
+        /// The leader's session with this executor.
         session: SessionId,
-        /// How long to wait for an answer.
+        /// How long the executor waits for the first reply.
         wait_ms: u64,
     },
 }
 
-/// An answer.
+/// A daemon's reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeReply {
-    /// Where the job stands; `None` is unknown here.
+    /// The job's state; `None` if this daemon does not know the job.
     State(Option<JobView>),
-    /// How many wait.
+    /// The number of jobs that have not started.
     Pending(u64),
-    /// Workers with their tickets; `None` is no answer from the advisor.
+    /// The granted workers with their tickets; `None` if the advisor did not answer.
     Advised(Option<Vec<(WorkerId, String)>>),
-    /// What became of a submission or cancellation.
+    /// The outcome of a submission or cancellation.
     Submitted(Accepted),
-    /// This daemon schedules.
+    /// This daemon leads.
     Alive {
-        /// Whether the store answers it.
+        /// Whether the store responds to it.
         reaches_store: bool,
-        /// How many daemons there are, for all it knows.
+        /// The number of daemons that it knows.
         daemons: u32,
         /// How many of them are fit to lead.
         fit: u32,
-        /// Up to when its manifest was the newest.
+        /// The proof of how long ago its manifest was the newest.
         manifest: RelayedProof,
     },
     /// The newest manifest that this daemon knows.
     Manifest {
-        /// A [`Manifest`](crate::Manifest), encoded.
+        /// An encoded [`Manifest`](crate::Manifest).
         manifest: Vec<u8>,
-        /// Up to when it was the newest.
+        /// The proof of how long ago this manifest was the newest.
         proof: RelayedProof,
     },
-    /// Taken note of.
+    /// Acknowledges a notification or a batch of calls.
     Noted,
-    /// This daemon does not schedule, or not for this leader.
+    /// This daemon does not lead, or a newer session replaced the caller's.
     NotScheduler,
-    /// What workers answered.
+    /// The replies of workers.
     Collected {
-        /// The executor's steady clock.
+        /// The executor's monotonic clock at the time of the reply.
         clock_ms: u64,
-        /// [`Replies`](crate::executors::call::Replies), encoded.
+        /// Encoded [`Replies`](crate::executors::call::Replies).
         replies: Vec<u8>,
     },
 }
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -1,8 +1,8 @@
-//! The outside world of a daemon, as one trait.
+//! The platform that a daemon runs on, as a trait that an adapter implements.
 //!
-//! The store keeps rows in a few tables and changes several of them at once
-//! under conditions on their versions. Workers take orders. The advisor says
-//! which workers may run a step. An adapter implements all of it.
+//! It has three parts: the store, which keeps rows in a few tables and supports transactions
+//! that are conditional on row versions; the workers, which run tasks; and the advisor, which
+//! decides which workers may run a step.
 
 use stoatwell_model::WorkerId;
 use stoatwell_pool::CallError;
@@ -19,7 +19,7 @@
 
 use crate::manifest::Manifest;
 
-/// A table of the store.
+/// A table of the store. Its `Display` text is the name under which it is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, displaydoc::Display)]
 pub enum Table {
     /// jobs
@@ -36,16 +36,16 @@
     Fences,
 }
 
-/// Rows that the store writes one transaction after another.
+/// A group of rows whose transactions the store executes one after another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Shard {
-    /// Who leads, and which daemons there are.
+    /// The leader lease and the list of daemons.
     Control,
-    /// The rows of the jobs of this part.
+    /// The rows of the jobs in the partition with this index.
     Jobs(usize),
 }
 
-/// The shard of a row.
+/// The shard that a row belongs to.
 pub fn shard(table: Table, key: &str) -> Shard {
     match table {
         Table::Jobs | Table::Cancels | Table::Progress => match key.parse::<JobId>() {
@@ -57,30 +57,31 @@
     }
 }
 
-/// A row as the store has it.
+/// A row of a table, as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// Its key.
+    /// The key, unique within the table.
     pub key: String,
-    /// Its value; `None` is a row that was removed.
+    /// The encoded value; `None` if the row was removed.
     pub value: Option<Vec<u8>>,
-    /// The transaction that wrote it.
+    /// The version of the transaction that last wrote the row.
     pub version: u64,
 }
 
-/// Rows, and the version of the store that they were read at.
+/// Rows, and the version of the store at which they were read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rows {
-    /// The rows, by key, or by version where they are changes.
+    /// The rows, ordered by key, or by version if they are changes.
     pub rows: Vec<Row>,
-    /// The version of the whole store.
+    /// The version of the whole store; changes are polled from here on.
     pub version: u64,
 }
 
-/// Changes that take effect together or not at all.
+/// Changes that are applied atomically.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transaction {
-    /// Versions that rows must have; 0 is no such row.
+    /// Versions that rows must have for the transaction to be applied; 0 if the row must not
+    /// exist.
     pub expect: Vec<(Table, String, u64)>,
     /// Rows to write.
     pub put: Vec<(Table, String, Vec<u8>)>,
@@ -88,7 +89,7 @@
     pub remove: Vec<(Table, String)>,
 }
 
-/// What the store did not do.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum StoreError {
     /// the store refused and did nothing
@@ -101,46 +102,46 @@
     HistoryLost,
 }
 
-/// Whether a version of the manifest is the newest.
+/// The store's answer to whether a version of the manifest is the newest.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Confirmation {
-    /// It is.
+    /// The version is the newest.
     Newest,
-    /// There is another one; none if that one cannot be read.
+    /// Another version replaced it; `None` if that one cannot be parsed.
     Replaced(Option<Manifest>),
 }
 
-/// What changed in the list of workers.
+/// Changes to the list of workers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkerChanges {
-    /// Workers listed, or listed with new facts.
+    /// Workers that were added or whose entry changed.
     pub listed: Vec<WorkerUpdate>,
-    /// Workers listed no longer.
+    /// Workers that were removed.
     pub unlisted: Vec<WorkerId>,
-    /// Where to go on from.
+    /// The store's version from which to poll for further changes.
     pub version: u64,
 }
 
-/// The outside world.
+/// The store, the workers and the advisor that a daemon uses.
 pub trait Platform: Send + Sync + 'static {
-    /// Changes rows under conditions; gives the new version.
+    /// Executes a transaction; returns the version of the rows that it wrote.
     fn transact(
         &self,
         transaction: &Transaction,
     ) -> impl Future<Output = Result<u64, StoreError>> + Send;
 
-    /// Reads one row.
+    /// Reads one row; `None` if there is no such row.
     fn read(
         &self,
         table: Table,
         key: &str,
     ) -> impl Future<Output = Result<Option<Row>, StoreError>> + Send;
 
-    /// Reads a whole table. The version is that of the first part read, so
-    /// changes after it are either in the rows or in what follows it.
+    /// Reads a whole table. The version is that of the first partition read, so each later
+    /// change is either in the rows or returned by a poll from that version.
     fn read_all(&self, table: Table) -> impl Future<Output = Result<Rows, StoreError>> + Send;
 
-    /// Waits for changes to a table after a version.
+    /// Returns the changes to a table after a version, waiting up to `wait_ms` for the first.
     fn poll_changes(
         &self,
         table: Table,
@@ -148,47 +149,50 @@
         wait_ms: u64,
     ) -> impl Future<Output = Result<Rows, StoreError>> + Send;
 
-    /// Reads the list of workers.
+    /// Reads the whole list of workers.
     fn workers(&self) -> impl Future<Output = Result<WorkerChanges, StoreError>> + Send;
 
-    /// Waits for changes to the list of workers.
+    /// Returns the changes to the list of workers after a version, waiting up to `wait_ms` for
+    /// the first.
     fn poll_worker_changes(
         &self,
         after: u64,
         wait_ms: u64,
     ) -> impl Future<Output = Result<WorkerChanges, StoreError>> + Send;
 
-    /// Reads the manifest, and the store's version to follow it from.
+    /// Reads the manifest, and the store's version from which to poll for a newer one. `None`
+    /// if there is no manifest that can be parsed.
     fn manifest(&self) -> impl Future<Output = Result<(Option<Manifest>, u64), StoreError>> + Send;
 
-    /// Waits for a newer manifest.
+    /// Returns a newer manifest, waiting up to `wait_ms` for it, and the version from which to
+    /// poll next. `None` if there is none.
     fn poll_manifest(
         &self,
         after: u64,
         wait_ms: u64,
     ) -> impl Future<Output = Result<(Option<Manifest>, u64), StoreError>> + Send;
 
-    /// Tells whether the manifest of a row version was the newest at some moment of the
-    /// call. Unlike a reading, the answer must not lag behind.
+    /// Whether the manifest with this row version was the newest at some time during the call.
+    /// Unlike a read, the answer must not lag behind.
     fn confirm_manifest(
         &self,
         row_version: u64,
     ) -> impl Future<Output = Result<Confirmation, StoreError>> + Send;
 
-    /// Holds a worker.
+    /// Renews the lease of a worker and reads its lists.
     fn hold(&self, call: &HoldCall) -> impl Future<Output = Result<HoldReply, CallError>> + Send;
 
-    /// Starts a run.
+    /// Starts a run on a worker.
     fn start(&self, call: &StartCall)
     -> impl Future<Output = Result<StartReply, CallError>> + Send;
 
-    /// Stops a run.
+    /// Stops a run on a worker.
     fn stop(&self, call: &StopCall) -> impl Future<Output = Result<(), CallError>> + Send;
 
-    /// Lets a run work at a share of its speed.
+    /// Throttles a run to a share of its full speed.
     fn pace(&self, call: &PaceCall) -> impl Future<Output = Result<(), CallError>> + Send;
 
-    /// Asks which of these workers may run a step; `None` is no answer.
+    /// Asks the advisor which of these workers may run a step; `None` if it did not answer.
     fn advise(
         &self,
         step: StepId,
--- a/crates/node/src/telemetry.rs
+++ b/crates/node/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! The scheduler's counters, gauges and its line of each second.
+//! The scheduler's counters and gauges, and the summary that it logs every second.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use stoatwell_pool::Pool;
 use stoatwell_pool::StartReply;
 
-/// Customers with gauges of their own; the state dump has all.
+/// Maximum number of customers with gauges of their own; the state dump lists all of them.
 const CUSTOMERS_MEASURED_MAX: usize = 100;
 
-/// Counts what workers and the advisor answered.
+/// Counts the responses of workers and of the advisor.
 pub(crate) fn count_event(event: &Event) {
     match event {
         Event::Held { reply, .. } => {
@@ -34,32 +34,32 @@
     }
 }
 
-/// What the leader's turns of one second took.
+/// Time that the leader spent in the scheduling cycles of the last second, by phase.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CycleTimes {
-    turns: u32,
+    cycles: u32,
     handling: Duration,
     deciding: Duration,
     calling: Duration,
 }
 
 impl CycleTimes {
-    /// What all of them took.
+    /// Time spent in all phases.
     pub fn total(&self) -> Duration {
         self.handling + self.deciding + self.calling
     }
 
-    /// Adds a turn: handling messages, deciding, and giving the calls out.
+    /// Adds a cycle: the time spent handling messages, deciding, and dispatching calls.
     pub fn add(&mut self, handling: Duration, deciding: Duration, calling: Duration) {
-        self.turns += 1;
+        self.cycles += 1;
         self.handling += handling;
         self.deciding += deciding;
         self.calling += calling;
     }
 }
 
-/// Sets the gauges of what the scheduler believes.
-pub(crate) fn publish_gauges(pool: &Pool, meter: &CycleTimes) {
+/// Sets the gauges of the scheduler's view of the pool and logs its summary.
+pub(crate) fn publish_gauges(pool: &Pool, cycle_times: &CycleTimes) {
     let counts = pool.counts();
     tracing::info!(
         queued_jobs = counts.queued_jobs,
@@ -69,18 +69,18 @@
         silent_workers = counts.silent_workers,
         free_cpu_millis = counts.free_cpu_millis,
         used_cpu_millis = counts.used_cpu_millis,
-        turns = meter.turns,
-        handling_ms = meter.handling.as_millis() as u64,
-        deciding_ms = meter.deciding.as_millis() as u64,
-        calling_ms = meter.calling.as_millis() as u64,
+        turns = cycle_times.cycles,
+        handling_ms = cycle_times.handling.as_millis() as u64,
+        deciding_ms = cycle_times.deciding.as_millis() as u64,
+        calling_ms = cycle_times.calling.as_millis() as u64,
         "pool"
     );
-    for one in pool.customers().into_iter().take(CUSTOMERS_MEASURED_MAX) {
-        let customer = one.customer.to_string();
+    for usage in pool.customers().into_iter().take(CUSTOMERS_MEASURED_MAX) {
+        let customer = usage.customer.to_string();
         metrics::gauge!("stoatwell_customer_used_cpu_millis", "customer" => customer.clone())
-            .set(one.used.cpu_millis as f64);
+            .set(usage.used.cpu_millis as f64);
         metrics::gauge!("stoatwell_customer_cap_cpu_millis", "customer" => customer)
-            .set(one.cap.cpu_millis as f64);
+            .set(usage.cap.cpu_millis as f64);
     }
     let stalled = pool.tasks_without_wakeup();
     if let Some(first) = stalled.first() {
