--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -41,7 +41,7 @@
         /// Maximum time until the reply.
         limit_ms: u64,
     },
-    /// To the leader: liveness probe.
+    /// To the leader: liveness probe; the reply also says whether the store responds to it.
     Alive,
     /// To any daemon: returns its newest manifest.
     Manifest,
