--- a/crates/node/src/scheduler.rs
+++ b/crates/node/src/scheduler.rs
@@ -16,9 +16,9 @@
 use crate::clock::steady_ms;
 use crate::gateway::Gateway;
 use crate::message::Query;
-use crate::outside::Outside;
 use crate::peers::NodeCall;
 use crate::peers::NodeReply;
+use crate::platform::Platform;
 
 /// How long the scheduler may take to say that it lives: some round trips between
 /// regions, and a cycle over a long queue.
@@ -136,12 +136,12 @@
 }
 
 /// Asks the scheduler again and again whether it lives, for the whole liveness of a daemon.
-pub(crate) async fn check_liveness<O: Outside>(
+pub(crate) async fn check_liveness<O: Platform>(
     gateway: Arc<Gateway<O>>,
     peers: Peers,
     is_underprovisioned: bool,
 ) {
-    let mut view = gateway.watch_scheduler();
+    let mut view = gateway.subscribe_leader();
     let mut asked = None;
     let mut misses = 0;
     let mut every = PROBE_INTERVAL;
@@ -161,7 +161,7 @@
         let reply = peers.call::<NodeReply>(&address, &NodeCall::Alive, PROBE_TIMEOUT).await;
         if let Ok(NodeReply::Alive { daemons, fit, manifest, .. }) = &reply {
             every = probe_interval(is_underprovisioned, *daemons);
-            gateway.set_daemons(*daemons, *fit);
+            gateway.set_member_counts(*daemons, *fit);
             gateway.note_proof(&address, *manifest, asked_ms).await;
         }
         let liveness = match reply {
--- /dev/null
+++ b/crates/node/src/store_watcher.rs
@@ -0,0 +1,242 @@
+//! Watches the store for the leader: jobs, cancellations, workers and daemons.
+
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::time::Duration;
+
+use stoatwell_model::WorkerId;
+use stoatwell_pool::Event;
+use stoatwell_pool::JobId;
+use stoatwell_pool::JobSpec;
+
+use crate::advisors::Advisors;
+use crate::clock::steady_ms;
+use crate::duty::is_underprovisioned;
+use crate::executors::Executors;
+use crate::gateway::Gateway;
+use crate::health::StoreHealth;
+use crate::inbox::Senders;
+use crate::members::read_members;
+use crate::peers::NodeCall;
+use crate::platform::Platform;
+use crate::platform::Row;
+use crate::platform::Rows;
+use crate::platform::StoreError;
+use crate::platform::Table;
+use crate::platform::WorkerChanges;
+
+/// How long the store holds a poll for changes open when there are none.
+const POLL_WAIT_MS: u64 = 1_500;
+/// Delay before a failed read or poll is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Delay between two polls for changes to jobs. Daemons notify the leader of the jobs they
+/// accept; the store's change feed only has to deliver those whose notification was lost,
+/// and each call to it has a price.
+const JOBS_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Delay between two polls for changes to the list of workers, which changes with each
+/// worker heartbeat.
+const WORKERS_POLL_INTERVAL: Duration = Duration::from_millis(400);
+/// How often the leader reads the list of daemons.
+const MEMBERS_POLL_INTERVAL: Duration = Duration::from_secs(2);
+/// A worker that left the list is reported only after it was absent, and the list readable,
+/// for this long: after an outage entries reappear late.
+const UNLISTED_GRACE_MS: u64 = 2_500;
+
+/// Reads the stored state and watches it for changes, for one leader.
+#[derive(Debug)]
+pub(crate) struct StoreWatcher<P> {
+    /// The store that is watched.
+    pub platform: Arc<P>,
+    /// Health of the store.
+    pub health: Arc<StoreHealth>,
+    /// The leader's inbox, which receives the changes.
+    pub messages: Senders,
+}
+
+impl<P: Platform> StoreWatcher<P> {
+    /// Reads the list of workers, retrying until the store answers.
+    pub async fn workers(&self) -> WorkerChanges {
+        self.retry_until_ok(|| self.platform.workers()).await
+    }
+
+    /// Reads the list of workers, and sets up the executors through which the leader reaches
+    /// workers that it does not call itself.
+    pub async fn load_workers_and_executors(&self, executors: &Executors<P>) -> WorkerChanges {
+        let daemons = self.retry_until_ok(|| self.platform.read_all(Table::Daemons));
+        let (workers, daemons) = tokio::join!(self.workers(), daemons);
+        let mut zones = BTreeMap::new();
+        for listed in &workers.listed {
+            *zones.entry(listed.zone.clone()).or_default() += 1;
+        }
+        executors.update_members(read_members(&daemons.rows));
+        executors.update_workers(zones);
+        workers
+    }
+
+    /// Reads a table at a version or later.
+    ///
+    /// A store that lags behind may return the state from before this daemon claimed the
+    /// leader lease. The previous leader wrote until then, and a start of its that is missing
+    /// from the state read would be repeated.
+    pub async fn read_at_least(&self, table: Table, version: u64) -> Rows {
+        loop {
+            let rows = self.retry_until_ok(|| self.platform.read_all(table)).await;
+            if rows.version >= version {
+                return rows;
+            }
+            tracing::warn!(%table, version, found = rows.version, "store returned a stale table; reading again");
+            tokio::time::sleep(RETRY_DELAY).await;
+        }
+    }
+
+    /// Polls a table for changes and forwards each new row to the leader's inbox.
+    pub async fn watch_table(self: Arc<Self>, table: Table, mut after: u64) {
+        loop {
+            let poll = self.platform.poll_changes(table, after, POLL_WAIT_MS);
+            let rows = match self.health.track_read(poll).await {
+                Ok(rows) => rows,
+                Err(StoreError::HistoryLost) => {
+                    tracing::warn!(%table, after, "store no longer has the change history; reading the whole table");
+                    self.retry_until_ok(|| self.platform.read_all(table)).await
+                }
+                Err(error) => {
+                    tracing::warn!(%table, %error, "polling a table for changes failed; retrying");
+                    tokio::time::sleep(RETRY_DELAY).await;
+                    continue;
+                }
+            };
+            after = rows.version;
+            for row in &rows.rows {
+                self.forward_row(table, row);
+            }
+            tokio::time::sleep(JOBS_POLL_INTERVAL).await;
+        }
+    }
+
+    fn forward_row(&self, table: Table, row: &Row) {
+        if row.value.is_none() {
+            return;
+        }
+        match table {
+            Table::Jobs => {
+                let Some((job, spec)) = read_row::<JobSpec>(row) else { return };
+                self.messages.notify(Event::Accepted { job, spec: Arc::new(spec) });
+            }
+            Table::Cancels => {
+                let Ok(job) = row.key.parse() else { return };
+                self.messages.notify(Event::Cancelled { job });
+            }
+            Table::Progress | Table::Duty | Table::Daemons | Table::Fences => {}
+        }
+    }
+
+    /// Polls the list of workers and forwards each change to the leader's inbox. A removal is
+    /// forwarded only after a grace period.
+    pub async fn watch_workers(self: Arc<Self>, mut after: u64) {
+        let mut unlisted_at_ms: BTreeMap<WorkerId, u64> = BTreeMap::new();
+        let mut readable_since_ms = steady_ms();
+        loop {
+            let changes =
+                match self.health.track_read(self.platform.poll_worker_changes(after, 0)).await {
+                    Ok(changes) => changes,
+                    // A full read does not show which workers were removed meanwhile; the leader
+                    // notices these by their missing responses.
+                    Err(StoreError::HistoryLost) => self.workers().await,
+                    Err(error) => {
+                        tracing::warn!(%error, "polling the list of workers failed; retrying");
+                        tokio::time::sleep(RETRY_DELAY).await;
+                        readable_since_ms = steady_ms();
+                        continue;
+                    }
+                };
+            after = changes.version;
+            self.apply_worker_changes(changes, &mut unlisted_at_ms);
+            let now_ms = steady_ms();
+            let is_gone = |at_ms: &u64| {
+                let since_ms = (*at_ms).max(readable_since_ms);
+                now_ms > since_ms + UNLISTED_GRACE_MS
+            };
+            for worker in
+                unlisted_at_ms.extract_if(.., |_, at_ms| is_gone(at_ms)).map(|(worker, _)| worker)
+            {
+                self.messages.notify(Event::Unlisted { worker });
+            }
+            tokio::time::sleep(WORKERS_POLL_INTERVAL).await;
+        }
+    }
+
+    fn apply_worker_changes(
+        &self,
+        changes: WorkerChanges,
+        unlisted_at_ms: &mut BTreeMap<WorkerId, u64>,
+    ) {
+        for worker in changes.unlisted {
+            unlisted_at_ms.insert(worker, steady_ms());
+        }
+        for listed in changes.listed {
+            unlisted_at_ms.remove(&listed.worker);
+            self.messages.notify(Event::Listed(listed));
+        }
+    }
+
+    /// Tracks the daemons of the pool: queries to the advisor go through them, and each new
+    /// one is notified of this leader. A daemon that is cut off from the store would not
+    /// learn of the leader otherwise, and could not serve its callers.
+    pub async fn track_members(
+        self: Arc<Self>,
+        advisors: Arc<Advisors<P>>,
+        executors: Arc<Executors<P>>,
+        gateway: Arc<Gateway<P>>,
+        leader_notice: NodeCall,
+    ) {
+        let mut notified = BTreeSet::new();
+        loop {
+            match self.health.track_read(self.platform.read_all(Table::Daemons)).await {
+                Ok(rows) => {
+                    let members = read_members(&rows.rows);
+                    let known = advisors.update_members(&members);
+                    let candidates =
+                        members.iter().filter(|member| !is_underprovisioned(member.cores));
+                    gateway.set_member_counts(known.len() as u32, candidates.count() as u32);
+                    executors.update_members(members);
+                    self.messages.notify(Event::Advisors { count: known.len() });
+                    for address in known {
+                        if notified.insert(address.clone()) {
+                            advisors.notify(address, leader_notice.clone());
+                        }
+                    }
+                }
+                Err(error) => tracing::debug!(%error, "listing the daemons failed; retrying"),
+            }
+            tokio::time::sleep(MEMBERS_POLL_INTERVAL).await;
+        }
+    }
+
+    /// Retries a read until it succeeds; the store may be down while this daemon leads.
+    async fn retry_until_ok<T, F>(&self, call: impl Fn() -> F) -> T
+    where
+        F: Future<Output = Result<T, StoreError>>,
+    {
+        loop {
+            match self.health.track_read(call()).await {
+                Ok(value) => return value,
+                Err(error) => {
+                    tracing::warn!(%error, "reading state from the store failed; retrying");
+                    tokio::time::sleep(RETRY_DELAY).await;
+                }
+            }
+        }
+    }
+}
+
+/// Parses a job's row; `None` if it was removed, or if it cannot be parsed and so belongs to
+/// another writer.
+pub(crate) fn read_row<T: serde::de::DeserializeOwned>(row: &Row) -> Option<(JobId, T)> {
+    let value = row.value.as_ref()?;
+    if let (Ok(id), Ok(value)) = (row.key.parse(), serde_json::from_slice(value)) {
+        return Some((id, value));
+    }
+    tracing::warn!(key = row.key, version = row.version, "skipping a row that cannot be parsed");
+    None
+}
