--- a/crates/node/src/accept.rs
+++ b/crates/node/src/accept.rs
@@ -14,7 +14,7 @@
 use stoatwell_pool::Accepted;
 use stoatwell_pool::CustomerLimits;
 use stoatwell_pool::JobId;
-use stoatwell_pool::PARTS;
+use stoatwell_pool::PARTITIONS;
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -74,8 +74,8 @@
 impl Acceptor {
     /// Starts the tasks that write, one for each shard.
     pub fn start(outside: Arc<impl Outside>, health: Arc<StoreHealth>) -> Self {
-        let mut shards = Vec::with_capacity(PARTS);
-        for _ in 0..PARTS {
+        let mut shards = Vec::with_capacity(PARTITIONS);
+        for _ in 0..PARTITIONS {
             let (items, queue) = mpsc::channel(WAITING_MAX);
             tokio::spawn(write(Arc::clone(&outside), Arc::clone(&health), queue));
             shards.push(items);
--- a/crates/node/src/commit/fences.rs
+++ b/crates/node/src/commit/fences.rs
@@ -5,7 +5,7 @@
 
 use serde::Deserialize;
 use serde::Serialize;
-use stoatwell_pool::PARTS;
+use stoatwell_pool::PARTITIONS;
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 
@@ -65,7 +65,7 @@
 ) -> Option<Vec<u64>> {
     let turns = Arc::new(Semaphore::new(AT_ONCE));
     let mut claims = JoinSet::new();
-    for part in 0..PARTS {
+    for part in 0..PARTITIONS {
         let (outside, health) = (Arc::clone(outside), Arc::clone(health));
         let turns = Arc::clone(&turns);
         let mine = mine.clone();
@@ -74,7 +74,7 @@
             (part, claim(outside.as_ref(), &health, part, &mine).await)
         });
     }
-    let mut versions = vec![0; PARTS];
+    let mut versions = vec![0; PARTITIONS];
     while let Some(claimed) = claims.join_next().await {
         let Ok((part, version)) = claimed else {
             tracing::error!("a claim of a part ended early");
--- a/crates/node/src/commit/writer.rs
+++ b/crates/node/src/commit/writer.rs
@@ -8,7 +8,7 @@
 
 use stoatwell_pool::Accepted;
 use stoatwell_pool::Event;
-use stoatwell_pool::PartWrite;
+use stoatwell_pool::PartitionWrite;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 use tokio::time::timeout;
@@ -60,12 +60,12 @@
 
 impl<O: Outside> Writer<O> {
     /// Writes a batch: at first as one transaction, and each part by itself if that fails.
-    pub async fn write(self: Arc<Self>, batch: u64, mut writes: Vec<PartWrite>) {
+    pub async fn write(self: Arc<Self>, batch: u64, mut writes: Vec<PartitionWrite>) {
         loop {
             match self.try_write(&mut writes, false).await {
                 Tried::Done => {
                     for write in &writes {
-                        self.committed(batch, write.part);
+                        self.committed(batch, write.partition);
                     }
                     return;
                 }
@@ -89,8 +89,8 @@
     /// After a write without answer the fence is rewritten with the next try. If the lost
     /// one were carried out seconds later it would put old progress over new; the fence's
     /// new version keeps it from that.
-    async fn persist(self: Arc<Self>, batch: u64, write: PartWrite, mut in_doubt: bool) {
-        let part = write.part;
+    async fn persist(self: Arc<Self>, batch: u64, write: PartitionWrite, mut in_doubt: bool) {
+        let part = write.partition;
         let mut writes = vec![write];
         let mut refusals = 0;
         let mut doubts = u32::from(in_doubt);
@@ -117,7 +117,7 @@
         }
     }
 
-    async fn try_write(&self, writes: &mut [PartWrite], rewrites: bool) -> Tried {
+    async fn try_write(&self, writes: &mut [PartitionWrite], rewrites: bool) -> Tried {
         let transaction = self.transaction(writes, rewrites);
         let sent = Instant::now();
         let answered = async {
@@ -140,7 +140,7 @@
             }
             Err(StoreError::Conflict(rows)) => self.resolve(writes, &rows),
             Err(error) => {
-                let part = writes.first().map(|write| write.part);
+                let part = writes.first().map(|write| write.partition);
                 tracing::warn!(%error, part, parts = writes.len(), "the leader's write has to be tried again");
                 if error == StoreError::NoAnswer { Tried::InDoubt } else { Tried::Refused }
             }
@@ -149,7 +149,7 @@
 
     /// Deals with rows that were not as expected: fences that this leader rewrote itself
     /// with a write whose answer was lost, and jobs that are there already.
-    fn resolve(&self, writes: &mut [PartWrite], rows: &[(Table, Row)]) -> Tried {
+    fn resolve(&self, writes: &mut [PartitionWrite], rows: &[(Table, Row)]) -> Tried {
         for (table, row) in rows {
             if *table == Table::Fences {
                 let Some((fence, version)) = read_fence(row) else { return Tried::Deposed };
@@ -190,7 +190,7 @@
     }
 
     /// Lets callers know that nobody can tell yet, while they have time to ask again.
-    fn tell_doubtful(&self, writes: &[PartWrite]) {
+    fn tell_doubtful(&self, writes: &[PartitionWrite]) {
         let puts = writes.iter().flat_map(|write| &write.puts);
         for put in puts.filter(|put| put.submission.is_some()) {
             self.messages.notify(Event::InDoubt { job: put.job });
@@ -198,7 +198,7 @@
     }
 
     /// Gives up submissions; nothing of them is or will be in the store.
-    fn reject_all(&self, writes: &mut [PartWrite]) {
+    fn reject_all(&self, writes: &mut [PartitionWrite]) {
         for write in writes {
             write.puts.retain(|put| {
                 if put.submission.is_some() {
@@ -210,12 +210,12 @@
         }
     }
 
-    fn transaction(&self, writes: &[PartWrite], rewrites: bool) -> Transaction {
+    fn transaction(&self, writes: &[PartitionWrite], rewrites: bool) -> Transaction {
         let mut transaction = Transaction::default();
         let versions = self.versions();
         for write in writes {
-            let fence_key = write.part.to_string();
-            let version = versions.get(write.part).copied().unwrap_or(0);
+            let fence_key = write.partition.to_string();
+            let version = versions.get(write.partition).copied().unwrap_or(0);
             transaction.expect.push((Table::Fences, fence_key.clone(), version));
             if rewrites {
                 // A version of its own, so that it differs from what a lost write left.
@@ -241,10 +241,10 @@
         transaction
     }
 
-    fn note_fences(&self, writes: &[PartWrite], version: u64) {
+    fn note_fences(&self, writes: &[PartitionWrite], version: u64) {
         let mut versions = self.versions();
         for write in writes {
-            if let Some(known) = versions.get_mut(write.part) {
+            if let Some(known) = versions.get_mut(write.partition) {
                 *known = version;
             }
         }
@@ -254,8 +254,8 @@
         self.versions.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn committed(&self, batch: u64, part: usize) {
-        self.messages.notify(Event::Committed { batch, part });
+    fn committed(&self, batch: u64, partition: usize) {
+        self.messages.notify(Event::Committed { batch, partition });
     }
 
     fn deposed(&self) {
--- a/crates/node/src/lead.rs
+++ b/crates/node/src/lead.rs
@@ -149,7 +149,7 @@
             }
             let handled = Instant::now();
             pool.note_renewal(renewed_ms.load(Ordering::Relaxed));
-            let effects = pool.pump(steady_ms(), unix_ms());
+            let effects = pool.poll_effects(steady_ms(), unix_ms());
             let pumped = Instant::now();
             decided = pumped - handled;
             for effect in effects {
@@ -295,8 +295,9 @@
                 let messages = messages.clone();
                 tasks.spawn(async move {
                     let granted = advisors.ask(step, &workers, priority, cost_ms).await;
-                    let came_ms = steady_ms();
-                    let event = Event::Advised { step, asked: workers, cost_ms, granted, came_ms };
+                    let received_ms = steady_ms();
+                    let event =
+                        Event::Advised { step, asked: workers, cost_ms, granted, received_ms };
                     messages.notify(event);
                 });
             }
--- a/crates/node/src/outside.rs
+++ b/crates/node/src/outside.rs
@@ -49,7 +49,7 @@
 pub fn shard(table: Table, key: &str) -> Shard {
     match table {
         Table::Jobs | Table::Cancels | Table::Progress => match key.parse::<JobId>() {
-            Ok(job) => Shard::Jobs(job.part()),
+            Ok(job) => Shard::Jobs(job.partition()),
             Err(_) => Shard::Control,
         },
         Table::Fences => key.parse().map_or(Shard::Control, Shard::Jobs),
--- a/crates/node/tests/daemons.rs
+++ b/crates/node/tests/daemons.rs
@@ -235,7 +235,7 @@
     until("a leader", 3_000, || first.scheduler().is_some()).await;
     assert_eq!(first.gateway().submit(JobId(7), &job(), in_ms(2_000)).await, Accepted::Yes);
     let fences = store.rows(Table::Fences);
-    let fence = fences.iter().find(|row| row.key == JobId(7).part().to_string());
+    let fence = fences.iter().find(|row| row.key == JobId(7).partition().to_string());
     let expected = fence.expect("each part has a fence").version;
     first.stop().await;
     let second = start("b", &store).await;
@@ -245,7 +245,7 @@
     })
     .await;
     let late = Transaction {
-        expect: vec![(Table::Fences, JobId(7).part().to_string(), expected)],
+        expect: vec![(Table::Fences, JobId(7).partition().to_string(), expected)],
         put: vec![(Table::Progress, JobId(7).to_string(), b"{}".to_vec())],
         remove: Vec::new(),
     };
--- a/crates/node/tests/executors.rs
+++ b/crates/node/tests/executors.rs
@@ -82,7 +82,7 @@
         limits: Limits {
             lease_ms: 6_000,
             lease_max_ms: 6_000,
-            remember_ms: 60_000,
+            job_retention_ms: 60_000,
             advice_workers_max: 100,
             batch_bytes_max: 600_000,
         },
--- a/crates/node/tests/fake/mod.rs
+++ b/crates/node/tests/fake/mod.rs
@@ -24,12 +24,12 @@
 use stoatwell_node::Transaction;
 use stoatwell_node::WorkerChanges;
 use stoatwell_pool::CallError;
-use stoatwell_pool::End;
-use stoatwell_pool::Ended;
+use stoatwell_pool::EndedRun;
 use stoatwell_pool::Grant;
 use stoatwell_pool::HoldCall;
 use stoatwell_pool::HoldReply;
 use stoatwell_pool::PaceCall;
+use stoatwell_pool::RunOutcome;
 use stoatwell_pool::StartCall;
 use stoatwell_pool::StartReply;
 use stoatwell_pool::StepId;
@@ -265,7 +265,7 @@
             labels: Vec::new(),
             draining: false,
             remaining_ms: None,
-            life: 1,
+            incarnation: 1,
         });
         Ok(WorkerChanges { listed: listed.collect(), ..WorkerChanges::default() })
     }
@@ -322,7 +322,13 @@
             let number = number as u64 + 1;
             let (task, run) = (*task, *run);
             if number > call.forget {
-                ended.push(Ended { number, task, run, end: End::Done, checkpoint: String::new() });
+                ended.push(EndedRun {
+                    number,
+                    task,
+                    run,
+                    end: RunOutcome::Done,
+                    checkpoint: String::new(),
+                });
             }
         }
         Ok(HoldReply { clock_ms: 1, life: 1, active: Vec::new(), ended })
--- a/crates/node/tests/inbox.rs
+++ b/crates/node/tests/inbox.rs
@@ -14,7 +14,7 @@
 const BACKLOG: usize = 20_000;
 
 fn answer() -> Event {
-    Event::Committed { batch: 1, part: 0 }
+    Event::Committed { batch: 1, partition: 0 }
 }
 
 fn stretch(inbox: &mut Inbox, turn: &mut Turn) -> Vec<Message> {
--- a/crates/pool/src/advise.rs
+++ b/crates/pool/src/advise.rs
@@ -103,7 +103,7 @@
         asked: &[WorkerId],
         cost_ms: u64,
         granted: Option<Vec<Grant>>,
-        came_ms: u64,
+        received_ms: u64,
     ) {
         let now_ms = self.now_ms;
         self.questions = self.questions.saturating_sub(1);
@@ -128,9 +128,9 @@
                 advice.asked.extend(asked.iter().filter_map(slot));
                 for grant in granted {
                     let Some(worker) = self.workers.get(&grant.worker) else { continue };
-                    let expires_ms = came_ms.min(now_ms) + rule.valid_ms;
-                    let life = worker.info.life;
-                    let ticket = Ticket { text: grant.ticket, life, expires_ms };
+                    let expires_ms = received_ms.min(now_ms) + rule.valid_ms;
+                    let incarnation = worker.info.incarnation;
+                    let ticket = Ticket { text: grant.ticket, incarnation, expires_ms };
                     advice.granted.insert(worker.slot, ticket);
                 }
             }
@@ -173,7 +173,7 @@
         let Some(unit) = job.unit_of(step) else { return false };
         let Some(worker) = self.workers.get(name) else { return false };
         let Some(ticket) = job.units[unit].advice.granted.get(&worker.slot) else { return false };
-        ticket.is_fresh(worker.info.life, self.sent_ms(step.job, job.spec.queue.advice))
+        ticket.is_fresh(worker.info.incarnation, self.sent_ms(step.job, job.spec.queue.advice))
     }
 
     /// About when a start that is recorded now will be sent and arrive.
--- a/crates/pool/src/choose.rs
+++ b/crates/pool/src/choose.rs
@@ -48,7 +48,7 @@
     pub slot: Slot,
     /// Its service, as [`Cycle::service`] numbers it.
     pub service: usize,
-    pub life: u64,
+    pub incarnation: u64,
     /// Whether it failed or held up a run and did none well since.
     suspect: bool,
     pub free: Resources,
@@ -205,7 +205,7 @@
             cycle.rooms.push(Room {
                 slot: worker.slot,
                 service,
-                life: worker.info.life,
+                incarnation: worker.info.incarnation,
                 suspect: worker.is_suspect(),
                 free,
                 capacity: worker.info.capacity,
--- a/crates/pool/src/commit.rs
+++ b/crates/pool/src/commit.rs
@@ -18,7 +18,7 @@
 use crate::Pool;
 use crate::event::Effect;
 use crate::id::JobId;
-use crate::id::PARTS;
+use crate::id::PARTITIONS;
 use crate::id::TaskId;
 use crate::record::Progress;
 use crate::spec::JobSpec;
@@ -91,9 +91,9 @@
 
 /// Rows of one part to be written together.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PartWrite {
+pub struct PartitionWrite {
     /// The part.
-    pub part: usize,
+    pub partition: usize,
     /// The rows of jobs.
     pub puts: Vec<Put>,
     /// Jobs of which nothing shall be left.
@@ -128,7 +128,7 @@
         /// The worker.
         worker: WorkerId,
         /// The life that listed it.
-        life: u64,
+        incarnation: u64,
         /// The end.
         number: u64,
     },
@@ -138,7 +138,7 @@
 
 impl Default for Commits {
     fn default() -> Self {
-        let parts = std::iter::repeat_with(Part::default).take(PARTS).collect();
+        let parts = std::iter::repeat_with(Part::default).take(PARTITIONS).collect();
         Self { next: 0, parts, took_ms: 0 }
     }
 }
@@ -151,7 +151,7 @@
 
     /// Asks for a job's row to be written by a moment.
     fn note_by(&mut self, job: JobId, after: After, due_ms: u64) {
-        let part = &mut self.parts[job.part()];
+        let part = &mut self.parts[job.partition()];
         let dirty = part.dirty.entry(job).or_insert_with(|| {
             part.order.push_back(job);
             Dirty { afters: Vec::new(), due_ms }
@@ -167,12 +167,12 @@
 
     /// Asks for a job's rows to be removed.
     pub fn remove(&mut self, job: JobId) {
-        self.parts[job.part()].removes.push(job);
+        self.parts[job.partition()].removes.push(job);
     }
 
     /// Drops what waits to be written of a job; `false` if its row is being written.
     pub fn withdraw(&mut self, job: JobId) -> bool {
-        let part = &mut self.parts[job.part()];
+        let part = &mut self.parts[job.partition()];
         if part.under_way.as_ref().is_some_and(|batch| batch.jobs.contains(&job)) {
             return false;
         }
@@ -183,7 +183,7 @@
 
     /// Whether a job's row is being written or waits for its turn.
     pub fn holds(&self, job: JobId) -> bool {
-        let part = &self.parts[job.part()];
+        let part = &self.parts[job.partition()];
         part.dirty.contains_key(&job)
             || part.under_way.as_ref().is_some_and(|batch| batch.jobs.contains(&job))
     }
@@ -209,7 +209,7 @@
     /// What a batch of the job's part takes: the mean of the last ones, or longer if the
     /// one under way already does.
     pub fn usual_ms(&self, job: JobId, now_ms: u64) -> u64 {
-        let under_way = self.parts[job.part()].under_way.as_ref();
+        let under_way = self.parts[job.partition()].under_way.as_ref();
         let age_ms = under_way.map_or(0, |batch| now_ms.saturating_sub(batch.since_ms));
         self.took_ms.max(age_ms)
     }
@@ -255,7 +255,7 @@
 
     /// Whether a submission would wait behind a part that does not answer.
     pub(crate) fn is_part_stuck(&self, job: JobId) -> bool {
-        self.commits.is_stuck(job.part(), self.now_ms)
+        self.commits.is_stuck(job.partition(), self.now_ms)
     }
 
     /// Refuses submissions that would wait for a part that does not answer: their callers
@@ -276,7 +276,7 @@
             return;
         }
         let mut group = Group::default();
-        for part in 0..PARTS {
+        for part in 0..PARTITIONS {
             if slow {
                 group = Group::default();
             }
@@ -293,13 +293,13 @@
     }
 
     /// Adds what is due of a part.
-    fn fill(&mut self, part: usize, group: &mut Group) {
+    fn fill(&mut self, partition: usize, group: &mut Group) {
         let now_ms = self.now_ms;
-        let waiting = &mut self.commits.parts[part];
+        let waiting = &mut self.commits.parts[partition];
         if waiting.under_way.is_some() || (waiting.order.is_empty() && waiting.removes.is_empty()) {
             return;
         }
-        let mut write = PartWrite { part, puts: Vec::new(), removes: Vec::new() };
+        let mut write = PartitionWrite { partition, puts: Vec::new(), removes: Vec::new() };
         let mut under_way = UnderWay {
             batch: 0,
             since_ms: now_ms,
@@ -350,7 +350,7 @@
         self.commits.next += 1;
         let batch = self.commits.next;
         for write in &group.writes {
-            if let Some(under_way) = &mut self.commits.parts[write.part].under_way {
+            if let Some(under_way) = &mut self.commits.parts[write.partition].under_way {
                 under_way.batch = batch;
                 under_way.grouped = grouped;
             }
@@ -367,9 +367,9 @@
             match after {
                 After::Accept(job) => self.on_accept_durable(job),
                 After::Start { task, run } => self.send_start(task, run),
-                After::Forget { worker, life, number } => {
+                After::Forget { worker, incarnation, number } => {
                     let Some(worker) = self.workers.get_mut(&worker) else { continue };
-                    if worker.info.life != life {
+                    if worker.info.incarnation != incarnation {
                         continue;
                     }
                     worker.not_durable.remove(&number);
@@ -399,7 +399,7 @@
 /// Parts that go in one transaction.
 #[derive(Debug, Default)]
 struct Group {
-    writes: Vec<PartWrite>,
+    writes: Vec<PartitionWrite>,
     entries: usize,
     bytes: usize,
 }
--- a/crates/pool/src/event.rs
+++ b/crates/pool/src/event.rs
@@ -8,7 +8,7 @@
 use stoatwell_model::WorkerId;
 use stoatwell_model::ZoneName;
 
-use crate::commit::PartWrite;
+use crate::commit::PartitionWrite;
 use crate::customers::CustomerLimits;
 use crate::id::JobId;
 use crate::id::StepId;
@@ -91,7 +91,7 @@
         /// Those that may run it.
         granted: Option<Vec<Grant>>,
         /// When the answer came, by the steady clock; it may have waited to be handled.
-        came_ms: u64,
+        received_ms: u64,
     },
     /// The manifest names these customers.
     Customers {
@@ -108,7 +108,7 @@
         /// The batch.
         batch: u64,
         /// The part.
-        part: usize,
+        partition: usize,
     },
     /// Whether the store has a submission cannot be told for some time.
     InDoubt {
@@ -144,12 +144,12 @@
     /// The least time that a leaving worker still has.
     pub remaining_ms: Option<u64>,
     /// Which start of the worker this is; rises with each.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 impl WorkerUpdate {
     /// A worker that is known only by what it may still run.
-    pub fn unlisted(worker: WorkerId, address: String, service: String, life: u64) -> Self {
+    pub fn unlisted(worker: WorkerId, address: String, service: String, incarnation: u64) -> Self {
         Self {
             worker,
             address,
@@ -159,7 +159,7 @@
             labels: Vec::new(),
             draining: true,
             remaining_ms: None,
-            life,
+            incarnation,
         }
     }
 }
@@ -172,14 +172,14 @@
     /// Which start of the worker answers.
     pub life: u64,
     /// What runs.
-    pub active: Vec<Active>,
+    pub active: Vec<ActiveRun>,
     /// What ended and may not be forgotten yet, in the order of the numbers.
-    pub ended: Vec<Ended>,
+    pub ended: Vec<EndedRun>,
 }
 
 /// A run at work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Active {
+pub struct ActiveRun {
     /// The task.
     pub task: TaskId,
     /// The run.
@@ -195,7 +195,7 @@
 
 /// A run that ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ended {
+pub struct EndedRun {
     /// Its number in the worker's list, from 1 in each life.
     pub number: u64,
     /// The task.
@@ -203,14 +203,14 @@
     /// The run.
     pub run: u32,
     /// How it ended.
-    pub end: End,
+    pub end: RunOutcome,
     /// The newest checkpoint; empty is none.
     pub checkpoint: String,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, displaydoc::Display)]
-pub enum End {
+pub enum RunOutcome {
     /// done
     Done,
     /// failed
@@ -299,7 +299,7 @@
         /// The number of the batch.
         batch: u64,
         /// The rows, by part.
-        writes: Vec<PartWrite>,
+        writes: Vec<PartitionWrite>,
     },
     /// Tell a caller what became of its submission.
     Answer {
@@ -349,7 +349,7 @@
     pub run: u32,
     /// The payload of its job; not encoded with the call, since a job's starts share it.
     #[serde(skip)]
-    pub spec: Arc<JobSpecText>,
+    pub spec: Arc<JobPayload>,
     /// Until when everything there may run, by the worker's clock; the order is void after it.
     pub until_ms: u64,
     /// The checkpoint to go on from; empty is none.
@@ -361,7 +361,7 @@
 }
 
 /// The payload of a job, shared by its starts.
-pub type JobSpecText = str;
+pub type JobPayload = str;
 
 /// An order to stop a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/pool/src/holds.rs
+++ b/crates/pool/src/holds.rs
@@ -54,14 +54,14 @@
             self.add_worker(update, true);
             return;
         };
-        if update.life < worker.info.life {
+        if update.incarnation < worker.info.incarnation {
             return;
         }
-        if update.life > worker.info.life {
-            let life = update.life;
-            worker.info = WorkerUpdate { life: worker.info.life, ..update };
+        if update.incarnation > worker.info.incarnation {
+            let incarnation = update.incarnation;
+            worker.info = WorkerUpdate { incarnation: worker.info.incarnation, ..update };
             worker.listed = true;
-            self.begin_life(&name, life);
+            self.begin_life(&name, incarnation);
             return;
         }
         if update.draining && !worker.info.draining {
@@ -186,10 +186,10 @@
             }
         };
         // An answer to an earlier life's token says nothing of the present one.
-        if reply.life < worker.info.life || turn <= worker.life_began_turn {
+        if reply.life < worker.info.incarnation || turn <= worker.life_began_turn {
             return;
         }
-        if reply.life > worker.info.life {
+        if reply.life > worker.info.incarnation {
             self.begin_life(name, reply.life);
             if let Some(worker) = self.workers.get_mut(name) {
                 // What this life holds is not known before the list tells it.
@@ -239,11 +239,12 @@
                 continue;
             }
             worker.taken_in = ended.number;
-            let life = worker.info.life;
+            let incarnation = worker.info.incarnation;
             let job = ended.task.step.job;
             if self.jobs.contains_key(&job) {
                 worker.not_durable.insert(ended.number);
-                let after = After::Forget { worker: name.clone(), life, number: ended.number };
+                let after =
+                    After::Forget { worker: name.clone(), incarnation, number: ended.number };
                 self.commits.note(job, after);
             }
             self.on_end(ended.task, ended.run, name, ended.end, &ended.checkpoint);
@@ -256,7 +257,7 @@
         let this_turn = self.turn;
         let Some(worker) = self.workers.get(name) else { return };
         let here: Vec<TaskId> = worker.tasks.keys().copied().collect();
-        let mut listed: HashMap<(TaskId, u32), &crate::event::Active> = HashMap::new();
+        let mut listed: HashMap<(TaskId, u32), &crate::event::ActiveRun> = HashMap::new();
         for active in &reply.active {
             listed.insert((active.task, active.run), active);
         }
@@ -388,7 +389,7 @@
     worker.answered_ms + HOLD_WAIT_MS * 2 < now_ms
 }
 
-fn note_active(task: &mut Task, active: &crate::event::Active, now_ms: u64, turn: u64) {
+fn note_active(task: &mut Task, active: &crate::event::ActiveRun, now_ms: u64, turn: u64) {
     if matches!(task.phase, Phase::Sent | Phase::Adopted) {
         task.phase = Phase::Running { since_turn: turn };
         task.moved_ms = now_ms;
--- a/crates/pool/src/id.rs
+++ b/crates/pool/src/id.rs
@@ -21,7 +21,7 @@
 /// The store writes one transaction of a part after another, and takes 180 ms for each
 /// when it is sixty times slower than usual. A new leader has to fence and to read each
 /// part, so there are not many more than it takes to get through a burst then.
-pub const PARTS: usize = 32;
+pub const PARTITIONS: usize = 32;
 
 /// One step of one occurrence of a job.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -51,8 +51,8 @@
 
 impl JobId {
     /// The part of the store in which the job's rows lie.
-    pub fn part(&self) -> usize {
-        xxh3_64(self.to_string().as_bytes()) as usize % PARTS
+    pub fn partition(&self) -> usize {
+        xxh3_64(self.to_string().as_bytes()) as usize % PARTITIONS
     }
 }
 
--- a/crates/pool/src/job.rs
+++ b/crates/pool/src/job.rs
@@ -93,14 +93,14 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Ticket {
     pub text: String,
-    pub life: u64,
+    pub incarnation: u64,
     pub expires_ms: u64,
 }
 
 impl Ticket {
     /// Whether a start that is sent to this life of the worker then could show it.
-    pub fn is_fresh(&self, life: u64, sent_ms: u64) -> bool {
-        self.life == life && self.expires_ms > sent_ms
+    pub fn is_fresh(&self, incarnation: u64, sent_ms: u64) -> bool {
+        self.incarnation == incarnation && self.expires_ms > sent_ms
     }
 }
 
@@ -234,7 +234,7 @@
                     failed_run: task.failed_run,
                     done: task.is_done(),
                     address: at.map(|at| at.info.address.clone()).unwrap_or_default(),
-                    life: at.map_or(0, |at| at.info.life),
+                    incarnation: at.map_or(0, |at| at.info.incarnation),
                     worker,
                     checkpoint: task.checkpoint.clone(),
                 });
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decides where the tasks of jobs run in one pool of workers.
 //!
 //! [`Pool`] is the scheduler's whole state. [`Pool::handle`] handles one
-//! event, [`Pool::pump`] tells what has to be done. It waits for nothing and
+//! event, [`Pool::poll_effects`] tells what has to be done. It waits for nothing and
 //! reads no clock, so tests replay any schedule of failures in virtual time.
 //!
 //! Three facts keep a task from running twice. A start is durable before it is
@@ -52,24 +52,24 @@
 
 pub use crate::advise::LONG_ASK_MS;
 pub use crate::advise::long_questions_max;
-pub use crate::commit::PartWrite;
+pub use crate::commit::PartitionWrite;
 pub use crate::commit::Put;
 pub use crate::customers::CustomerLimits;
 pub use crate::dump::Counts;
 pub use crate::dump::CustomerDump;
 pub use crate::dump::PoolDump;
 pub use crate::dump::WorkerDump;
-pub use crate::event::Active;
+pub use crate::event::ActiveRun;
 pub use crate::event::CallError;
 pub use crate::event::Callee;
 pub use crate::event::Effect;
-pub use crate::event::End;
-pub use crate::event::Ended;
+pub use crate::event::EndedRun;
 pub use crate::event::Event;
 pub use crate::event::Grant;
 pub use crate::event::HoldCall;
 pub use crate::event::HoldReply;
 pub use crate::event::PaceCall;
+pub use crate::event::RunOutcome;
 pub use crate::event::StartCall;
 pub use crate::event::StartReply;
 pub use crate::event::StopCall;
@@ -77,7 +77,7 @@
 pub use crate::holds::EXTEND_MS;
 pub use crate::id::IdError;
 pub use crate::id::JobId;
-pub use crate::id::PARTS;
+pub use crate::id::PARTITIONS;
 pub use crate::id::StepId;
 pub use crate::id::TaskId;
 pub use crate::record::JobState;
@@ -94,7 +94,7 @@
 pub use crate::submit::Accepted;
 
 /// Bits of a token below the epoch; they count a worker's lives.
-const LIFE_BITS: u32 = 12;
+const INCARNATION_BITS: u32 = 12;
 
 /// Figures that the installation sets.
 #[derive(Clone, Copy, Debug)]
@@ -104,7 +104,7 @@
     /// The longest lease that a worker grants to anybody.
     pub lease_max_ms: u64,
     /// How long a finished job is remembered.
-    pub remember_ms: u64,
+    pub job_retention_ms: u64,
     /// How many workers one question to the advisor may name.
     pub advice_workers_max: usize,
     /// About how many bytes of rows one batch may hold; the renewal of the leader's
@@ -132,7 +132,7 @@
     now_ms: u64,
     unix_ms: u64,
     started_ms: u64,
-    /// Counts the calls of [`Pool::pump`]: what is asked for in a later turn than
+    /// Counts the calls of [`Pool::poll_effects`]: what is asked for in a later turn than
     /// an answer was taken in, is asked after it.
     turn: u64,
     jobs: BTreeMap<JobId, Job>,
@@ -239,14 +239,14 @@
         if !self.workers.contains_key(&name) {
             let address = row.address.clone();
             self.add_worker(
-                WorkerUpdate::unlisted(name.clone(), address, service, row.life),
+                WorkerUpdate::unlisted(name.clone(), address, service, row.incarnation),
                 false,
             );
         }
         let Some(worker) = self.workers.get_mut(&name) else { return };
         // A start may have reached a later life than the one that it was meant
         // for, so whatever the rows say of lives, the first hold tells.
-        worker.info.life = worker.info.life.max(row.life);
+        worker.info.incarnation = worker.info.incarnation.max(row.incarnation);
         worker.take(id, taken);
         if over {
             // The earlier scheduler may have died before its stop got there.
@@ -282,12 +282,12 @@
             Event::Paced { task, run, worker, reply } => {
                 self.on_paced(task, run, &worker, reply);
             }
-            Event::Advised { step, asked, cost_ms, granted, came_ms } => {
-                self.on_advised(step, &asked, cost_ms, granted, came_ms);
+            Event::Advised { step, asked, cost_ms, granted, received_ms } => {
+                self.on_advised(step, &asked, cost_ms, granted, received_ms);
             }
             Event::Customers { limits } => self.on_customers(limits),
             Event::Advisors { count } => self.advisors = count.max(1),
-            Event::Committed { batch, part } => self.on_committed(batch, part),
+            Event::Committed { batch, partition } => self.on_committed(batch, partition),
             Event::InDoubt { job } => {
                 self.effects.push(Effect::Answer { job, accepted: Accepted::Unknown });
             }
@@ -296,7 +296,7 @@
     }
 
     /// What has to be done by now.
-    pub fn pump(&mut self, now_ms: u64, unix_ms: u64) -> Vec<Effect> {
+    pub fn poll_effects(&mut self, now_ms: u64, unix_ms: u64) -> Vec<Effect> {
         self.now_ms = self.now_ms.max(now_ms);
         self.unix_ms = unix_ms;
         self.turn += 1;
@@ -500,7 +500,7 @@
         let old = |job: &&Job| {
             job.settled
                 && !job.is_anywhere()
-                && job.finished_unix_ms + self.limits.remember_ms < self.unix_ms
+                && job.finished_unix_ms + self.limits.job_retention_ms < self.unix_ms
         };
         let gone: Vec<JobId> = self.jobs.values().filter(old).map(|job| job.id).collect();
         for id in gone {
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -306,7 +306,7 @@
             let Some(at) = cycle.at(*slot) else { continue };
             let room = &cycle.rooms[at];
             if self.is_eligible(service, spec, room) {
-                allowed.push(Allowed { at, fresh: ticket.is_fresh(room.life, sent_ms) });
+                allowed.push(Allowed { at, fresh: ticket.is_fresh(room.incarnation, sent_ms) });
             }
         }
         allowed
--- a/crates/pool/src/record.rs
+++ b/crates/pool/src/record.rs
@@ -88,7 +88,7 @@
     /// That worker's address, so that it is found also when it is listed no more.
     pub address: String,
     /// Which life of the worker the run was sent to; nothing of it is in a later one.
-    pub life: u64,
+    pub incarnation: u64,
     /// The newest checkpoint that is known; empty is none.
     pub checkpoint: String,
 }
@@ -126,10 +126,10 @@
             let mut place = if task.done { DONE } else { NOWHERE };
             if let Some(worker) = task.worker.filter(|_| !task.done) {
                 let same = |known: &(WorkerId, String, u64)| {
-                    known.0 == worker && known.1 == task.address && known.2 == task.life
+                    known.0 == worker && known.1 == task.address && known.2 == task.incarnation
                 };
                 let at = workers.iter().position(same).unwrap_or_else(|| {
-                    workers.push((worker, task.address, task.life));
+                    workers.push((worker, task.address, task.incarnation));
                     workers.len() - 1
                 });
                 place = at as Place;
@@ -158,8 +158,8 @@
             };
             let at = usize::try_from(place).ok().and_then(|at| compact.workers.get(at)).cloned();
             let task = match at {
-                Some((worker, address, life)) => {
-                    TaskProgress { worker: Some(worker), address, life, ..task }
+                Some((worker, address, incarnation)) => {
+                    TaskProgress { worker: Some(worker), address, incarnation, ..task }
                 }
                 None => task,
             };
--- a/crates/pool/src/runs.rs
+++ b/crates/pool/src/runs.rs
@@ -5,13 +5,13 @@
 
 use stoatwell_model::WorkerId;
 
-use crate::LIFE_BITS;
+use crate::INCARNATION_BITS;
 use crate::Pool;
 use crate::commit::After;
 use crate::event::CallError;
 use crate::event::Callee;
 use crate::event::Effect;
-use crate::event::End;
+use crate::event::RunOutcome;
 use crate::event::StartCall;
 use crate::event::StartReply;
 use crate::event::StopCall;
@@ -50,7 +50,9 @@
             return;
         };
         let ticket = unit.advice.granted.get(&worker.slot).filter(|_| needs_ticket);
-        if ticket.is_some_and(|ticket| !ticket.is_fresh(worker.info.life, now_ms + START_WAY_MS)) {
+        if ticket
+            .is_some_and(|ticket| !ticket.is_fresh(worker.info.incarnation, now_ms + START_WAY_MS))
+        {
             // Its row took longer than the ticket is good for, as in a store outage; the
             // worker would turn it away.
             self.not_started(id);
@@ -194,7 +196,14 @@
     }
 
     /// Takes in how a run ended.
-    pub(crate) fn on_end(&mut self, id: TaskId, run: u32, from: &WorkerId, end: End, saved: &str) {
+    pub(crate) fn on_end(
+        &mut self,
+        id: TaskId,
+        run: u32,
+        from: &WorkerId,
+        end: RunOutcome,
+        saved: &str,
+    ) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
         let Some(unit) = job.unit_of(id.step) else { return };
@@ -205,7 +214,7 @@
         let over = job.outcome.is_some();
         let Some(task) = job.task_mut(id) else { return };
         let here = task.run == run && task.worker.as_ref() == Some(from);
-        let copy_is_done = speculative && end == End::Done;
+        let copy_is_done = speculative && end == RunOutcome::Done;
         if !here {
             if copy_is_done {
                 tracing::info!(task = %id, run, worker = %from, "copy ended, done");
@@ -225,15 +234,15 @@
         // A run that an earlier scheduler placed has a time that is not known.
         let took_ms = (task.placed_ms > 0).then(|| now_ms.saturating_sub(task.placed_ms));
         tracing::info!(task = %id, run, worker = %from, %end, took_ms, "run ended");
-        if let Some(took_ms) = took_ms.filter(|_| end == End::Done && run == 1) {
+        if let Some(took_ms) = took_ms.filter(|_| end == RunOutcome::Done && run == 1) {
             self.learned.ran(&job.spec.queue.name, took_ms);
         }
         job.begun = true;
         self.release(id);
         if let Some(worker) = self.workers.get_mut(from) {
             match end {
-                End::Done => worker.record_success(),
-                End::Failed if worker.record_failure(now_ms, 1) => {
+                RunOutcome::Done => worker.record_success(),
+                RunOutcome::Failed if worker.record_failure(now_ms, 1) => {
                     tracing::warn!(worker = %from, "worker left alone: runs fail on it");
                 }
                 _ => {}
@@ -243,8 +252,8 @@
             return;
         }
         match end {
-            End::Done if !lasting => self.on_done(id, gang),
-            End::Failed if !lasting => self.on_failed(id, run, gang),
+            RunOutcome::Done if !lasting => self.on_done(id, gang),
+            RunOutcome::Failed if !lasting => self.on_failed(id, run, gang),
             _ => {
                 if gang {
                     self.break_gang(id);
@@ -408,6 +417,6 @@
     Some(Callee {
         worker: name.clone(),
         address: worker.info.address.clone(),
-        token: (epoch << LIFE_BITS) + worker.lives,
+        token: (epoch << INCARNATION_BITS) + worker.lives,
     })
 }
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -129,10 +129,10 @@
 
     /// Forgets what belongs to an earlier life. Its tasks are the caller's to take away.
     /// Orders that were under way may still be carried out up to a moment.
-    pub fn begin_life(&mut self, life: u64, turn: u64, earlier_lapse_ms: u64) {
+    pub fn begin_life(&mut self, incarnation: u64, turn: u64, earlier_lapse_ms: u64) {
         self.life_began_turn = turn;
         self.earlier_lapse_ms = earlier_lapse_ms;
-        self.info.life = life;
+        self.info.incarnation = incarnation;
         self.lives += 1;
         self.lost = false;
         self.held = false;
--- a/crates/pool/tests/record.rs
+++ b/crates/pool/tests/record.rs
@@ -11,10 +11,10 @@
 
 #[test]
 fn a_row_reads_back_as_it_was() {
-    let at = |worker: &str, life| TaskProgress {
+    let at = |worker: &str, incarnation| TaskProgress {
         worker: Some(WorkerId::new(worker)),
         address: "10.0.0.1:80".to_owned(),
-        life,
+        incarnation,
         checkpoint: "00ab".to_owned(),
         ..task(0, 1)
     };
@@ -38,7 +38,7 @@
         progress.tasks.push(TaskProgress {
             worker: Some(WorkerId::new(format!("i-22afcd81{index:02}"))),
             address: "10.128.0.19:8080".to_owned(),
-            life: 1_722_480_104_000,
+            incarnation: 1_722_480_104_000,
             ..task(0, index)
         });
     }
--- a/crates/pool/tests/submissions.rs
+++ b/crates/pool/tests/submissions.rs
@@ -82,7 +82,7 @@
     }
     world.run(1_000);
     for number in 1..=number {
-        let stuck = world.stuck_parts.contains(&JobId(number).part());
+        let stuck = world.stuck_parts.contains(&JobId(number).partition());
         let over = world.state(number) == Some(JobState::Completed);
         assert_eq!(over, !stuck, "{number}");
     }
@@ -92,7 +92,7 @@
 #[test]
 fn what_waits_behind_a_stuck_part_is_refused() {
     let mut world = begun(5);
-    let mut same_part = (1..).filter(|number| JobId(*number).part() == 3);
+    let mut same_part = (1..).filter(|number| JobId(*number).partition() == 3);
     let (first, second, third) =
         (same_part.next().expect("one"), same_part.next().expect("one"), same_part.next());
     let third = third.expect("one");
--- a/crates/pool/tests/unanswered.rs
+++ b/crates/pool/tests/unanswered.rs
@@ -21,7 +21,7 @@
 const LIMITS: Limits = Limits {
     lease_ms: 6_000,
     lease_max_ms: 6_000,
-    remember_ms: 60_000,
+    job_retention_ms: 60_000,
     advice_workers_max: 100,
     batch_bytes_max: 600_000,
 };
@@ -36,7 +36,7 @@
         labels: Vec::new(),
         draining: false,
         remaining_ms: None,
-        life: 1,
+        incarnation: 1,
     }
 }
 
@@ -70,15 +70,15 @@
     pool.handle(1_000, 1_000, Event::Accepted { job: JobId(1), spec: Arc::new(job()) });
     let mut starts = 0;
     for now_ms in (1_000..12_000).step_by(10) {
-        for effect in pool.pump(now_ms, now_ms) {
+        for effect in pool.poll_effects(now_ms, now_ms) {
             let event = match effect {
                 Effect::Hold(call) => {
                     let reply = HoldReply { clock_ms: now_ms, life: 1, ..HoldReply::default() };
                     Event::Held { worker: call.to.worker, turn: call.turn, reply: Ok(reply) }
                 }
                 Effect::Commit { batch, writes } => {
-                    let part = writes[0].part;
-                    Event::Committed { batch, part }
+                    let partition = writes[0].partition;
+                    Event::Committed { batch, partition }
                 }
                 Effect::Start(_) => {
                     starts += 1;
@@ -108,7 +108,7 @@
     pool.handle(1_000, 1_000, Event::Listed(worker()));
     let mut holds = 0;
     for now_ms in (1_000..11_000).step_by(10) {
-        for effect in pool.pump(now_ms, now_ms) {
+        for effect in pool.poll_effects(now_ms, now_ms) {
             let Effect::Hold(call) = effect else { continue };
             holds += 1;
             let reply = Err(CallError::OtherLife);
@@ -136,12 +136,12 @@
     let mut batches = 0;
     for turn in 1..200 {
         let now_ms = 1_000 + turn;
-        for effect in pool.pump(now_ms, now_ms) {
+        for effect in pool.poll_effects(now_ms, now_ms) {
             let Effect::Commit { batch, writes } = effect else { continue };
             batches += 1;
             for write in writes {
                 written += write.puts.len();
-                pool.handle(now_ms, now_ms, Event::Committed { batch, part: write.part });
+                pool.handle(now_ms, now_ms, Event::Committed { batch, partition: write.partition });
             }
         }
     }
--- a/crates/pool/tests/world/mod.rs
+++ b/crates/pool/tests/world/mod.rs
@@ -34,7 +34,7 @@
 use stoatwell_pool::JobSpec;
 use stoatwell_pool::JobState;
 use stoatwell_pool::Limits;
-use stoatwell_pool::PartWrite;
+use stoatwell_pool::PartitionWrite;
 use stoatwell_pool::Pool;
 use stoatwell_pool::Progress;
 use stoatwell_pool::StartReply;
@@ -101,7 +101,7 @@
 enum Item {
     /// A call arrives at the life of a worker that it was sent to; the answer
     /// goes back unless it is lost.
-    Arrives { epoch: u64, life: u64, call: Call, answered: bool },
+    Arrives { epoch: u64, incarnation: u64, call: Call, answered: bool },
     /// Message reach the scheduler of this epoch.
     Event(u64, Event),
     /// A worker is reached again.
@@ -222,7 +222,7 @@
     /// Writes the row of a start that is never sent.
     pub fn record_start_of(&mut self, id: u64) {
         let name = self.workers.keys().next().cloned();
-        let task = TaskProgress { run: 1, worker: name, life: 1, ..TaskProgress::default() };
+        let task = TaskProgress { run: 1, worker: name, incarnation: 1, ..TaskProgress::default() };
         let progress = Progress { tasks: vec![task], ..Progress::default() };
         self.progress.insert(JobId(id), progress);
     }
@@ -370,15 +370,15 @@
                 let update = worker.update();
                 self.notify(Event::Listed(update));
             }
-            Item::Arrives { epoch, life, call, answered } => {
-                self.arrive(epoch, life, call, answered);
+            Item::Arrives { epoch, incarnation, call, answered } => {
+                self.arrive(epoch, incarnation, call, answered);
             }
         }
     }
 
-    fn arrive(&mut self, epoch: u64, life: u64, call: Call, answered: bool) {
+    fn arrive(&mut self, epoch: u64, incarnation: u64, call: Call, answered: bool) {
         let Some(worker) = self.workers.get_mut(call.worker()) else { return };
-        if worker.up && worker.life != life {
+        if worker.up && worker.incarnation != incarnation {
             // The connection went with the life that it led to.
             let event = call.event(Err(CallError::NoAnswer));
             self.schedule(1, Item::Event(epoch, event));
@@ -413,7 +413,10 @@
             return;
         }
         if matches!(reply, Reply::Waits) {
-            self.schedule(20, Item::Arrives { epoch, life, call: call.waited(20), answered });
+            self.schedule(
+                20,
+                Item::Arrives { epoch, incarnation, call: call.waited(20), answered },
+            );
             return;
         }
         let event = call.event(Ok(reply));
@@ -460,7 +463,7 @@
         if self.renews {
             self.pool.note_renewal(self.now_ms);
         }
-        for effect in self.pool.pump(self.now_ms, self.now_ms) {
+        for effect in self.pool.poll_effects(self.now_ms, self.now_ms) {
             match effect {
                 Effect::Hold(call) => self.send(Call::Hold(call)),
                 Effect::Start(call) => self.send(Call::Start(call)),
@@ -478,8 +481,9 @@
                     let of_five = self.granted_of_five;
                     let granted = workers.iter().filter(|name| is_granted(step, name, of_five));
                     let granted = (!lost).then(|| granted.map(grant).collect());
-                    let came_ms = issued_ms;
-                    let event = Event::Advised { step, asked: workers, cost_ms, granted, came_ms };
+                    let received_ms = issued_ms;
+                    let event =
+                        Event::Advised { step, asked: workers, cost_ms, granted, received_ms };
                     let handled_ms = self.advice_ms + self.backlog_ms;
                     self.schedule(handled_ms, Item::Event(self.epoch, event));
                 }
@@ -500,8 +504,8 @@
     }
 
     /// Makes one part of a batch durable.
-    fn write(&mut self, batch: u64, write: PartWrite) {
-        if self.stuck_parts.contains(&write.part) {
+    fn write(&mut self, batch: u64, write: PartitionWrite) {
+        if self.stuck_parts.contains(&write.partition) {
             return;
         }
         for put in write.puts {
@@ -516,14 +520,14 @@
             self.progress.remove(&job);
             self.jobs.remove(&job);
         }
-        let event = Event::Committed { batch, part: write.part };
+        let event = Event::Committed { batch, partition: write.partition };
         self.schedule(self.commit_ms, Item::Event(self.epoch, event));
     }
 
     fn send(&mut self, call: Call) {
         let way_ms = self.rng.random_range(1..15);
         let epoch = self.epoch;
-        let life = self.workers.get(call.worker()).map_or(0, |worker| worker.life);
+        let incarnation = self.workers.get(call.worker()).map_or(0, |worker| worker.incarnation);
         if self.chance(self.faults.lost_calls) {
             let event = call.event(Err(CallError::NoAnswer));
             self.schedule(1_000, Item::Event(epoch, event));
@@ -534,10 +538,10 @@
             let event = call.event(Err(CallError::NoAnswer));
             self.schedule(1_000, Item::Event(epoch, event));
             let way_ms = if late { self.rng.random_range(2_000..12_000) } else { way_ms };
-            self.schedule(way_ms, Item::Arrives { epoch, life, call, answered: false });
+            self.schedule(way_ms, Item::Arrives { epoch, incarnation, call, answered: false });
             return;
         }
-        self.schedule(way_ms, Item::Arrives { epoch, life, call, answered: true });
+        self.schedule(way_ms, Item::Arrives { epoch, incarnation, call, answered: true });
     }
 }
 
@@ -559,7 +563,7 @@
     Limits {
         lease_ms: LEASE_MS,
         lease_max_ms: LEASE_MS,
-        remember_ms: 1_000_000,
+        job_retention_ms: 1_000_000,
         advice_workers_max: 100,
         batch_bytes_max: 600_000,
     }
--- a/crates/pool/tests/world/worker.rs
+++ b/crates/pool/tests/world/worker.rs
@@ -6,14 +6,14 @@
 use stoatwell_model::Resources;
 use stoatwell_model::WorkerId;
 use stoatwell_model::ZoneName;
-use stoatwell_pool::Active;
+use stoatwell_pool::ActiveRun;
 use stoatwell_pool::CallError;
-use stoatwell_pool::End;
-use stoatwell_pool::Ended;
+use stoatwell_pool::EndedRun;
 use stoatwell_pool::Event;
 use stoatwell_pool::HoldCall;
 use stoatwell_pool::HoldReply;
 use stoatwell_pool::PaceCall;
+use stoatwell_pool::RunOutcome;
 use stoatwell_pool::StartCall;
 use stoatwell_pool::StartReply;
 use stoatwell_pool::StepId;
@@ -80,12 +80,12 @@
     pub active: BTreeMap<(TaskId, u32), Run>,
     pub was_done: BTreeSet<TaskId>,
     pub gang_ends: BTreeSet<(StepId, u32, bool)>,
-    pub life: u64,
+    pub incarnation: u64,
     slow_permille: u64,
     began_ms: u64,
     token: u64,
     until_ms: u64,
-    ended: Vec<Ended>,
+    ended: Vec<EndedRun>,
     next_end: u64,
     /// Ends up to this number were listed when the lease lapsed; they count for nothing.
     void_up_to: u64,
@@ -180,7 +180,7 @@
             was_done: BTreeSet::new(),
             gang_ends: BTreeSet::new(),
             slow_permille,
-            life: 1,
+            incarnation: 1,
             began_ms: 0,
             token: 0,
             until_ms: 0,
@@ -201,7 +201,7 @@
             labels: vec!["a".to_owned(), self.rack.to_owned()],
             draining: self.draining,
             remaining_ms: None,
-            life: self.life,
+            incarnation: self.incarnation,
         }
     }
 
@@ -214,7 +214,7 @@
             refuses: self.refuses,
             rack: self.rack,
             dark: self.dark,
-            life: self.life + 1,
+            incarnation: self.incarnation + 1,
             began_ms: now_ms,
             was_done,
             ..fresh
@@ -231,11 +231,11 @@
         if token < self.token {
             return Vec::new();
         }
-        let (gone, rest): (Vec<Ended>, Vec<Ended>) =
+        let (gone, rest): (Vec<EndedRun>, Vec<EndedRun>) =
             self.ended.drain(..).partition(|ended| ended.number <= up_to);
         self.ended = rest;
         let void_up_to = self.void_up_to;
-        let counts = |ended: &Ended| ended.end == End::Done && ended.number > void_up_to;
+        let counts = |ended: &EndedRun| ended.end == RunOutcome::Done && ended.number > void_up_to;
         gone.into_iter().filter(counts).map(|ended| ended.task).collect()
     }
 
@@ -268,7 +268,7 @@
         }
         // Response times grow with the pace of what fills beside.
         let filling = self.filling_percent();
-        let active = |((task, run), at_work): (&(TaskId, u32), &Run)| Active {
+        let active = |((task, run), at_work): (&(TaskId, u32), &Run)| ActiveRun {
             task: *task,
             run: *run,
             checkpoint: at_work.checkpoint(),
@@ -277,7 +277,7 @@
         };
         Reply::Lists(HoldReply {
             clock_ms: self.clock(now_ms),
-            life: self.life,
+            life: self.incarnation,
             active: self.active.iter().map(active).collect(),
             ended: self.ended.clone(),
         })
@@ -373,15 +373,15 @@
             let alone = !whole && at_work.worked_ms == 0 && at_work.begun_ms + GANG_MS < now_ms;
             let over = at_work.worked_ms >= at_work.takes_ms;
             let end = if lapsed {
-                End::Lapsed
+                RunOutcome::Lapsed
             } else if at_work.stops_ms.is_some_and(|at| at <= now_ms) {
-                End::Stopped
+                RunOutcome::Stopped
             } else if over && at_work.fails {
-                End::Failed
+                RunOutcome::Failed
             } else if over {
-                End::Done
+                RunOutcome::Done
             } else if alone {
-                End::Alone
+                RunOutcome::Alone
             } else {
                 continue;
             };
@@ -392,20 +392,20 @@
         }
     }
 
-    fn end(&mut self, task: TaskId, run: u32, end: End) {
+    fn end(&mut self, task: TaskId, run: u32, end: RunOutcome) {
         let Some(at_work) = self.active.remove(&(task, run)) else { return };
         let checkpoint = at_work.checkpoint();
         if at_work.gang.is_some() {
-            self.gang_ends.insert((task.step, run, end == End::Done));
+            self.gang_ends.insert((task.step, run, end == RunOutcome::Done));
         }
-        if end == End::Done {
+        if end == RunOutcome::Done {
             self.was_done.insert(task);
         }
         let highest = self.stopped.entry(task).or_insert(0);
         *highest = (*highest).max(run);
         let number = self.next_end;
         self.next_end += 1;
-        self.ended.push(Ended { number, task, run, end, checkpoint });
+        self.ended.push(EndedRun { number, task, run, end, checkpoint });
     }
 
     /// Ends the members here of gangs that ended elsewhere.
@@ -413,9 +413,9 @@
         let mine: Vec<(TaskId, u32)> = self.active.keys().copied().collect();
         for (task, run) in mine {
             if ended.contains(&(task.step, run, true)) {
-                self.end(task, run, End::Done);
+                self.end(task, run, RunOutcome::Done);
             } else if ended.contains(&(task.step, run, false)) {
-                self.end(task, run, End::Broken);
+                self.end(task, run, RunOutcome::Broken);
             }
         }
         self.gang_ends.clear();
