--- a/crates/pool/src/event.rs
+++ b/crates/pool/src/event.rs
@@ -1,4 +1,7 @@
-//! What the pool is told, and what it asks to have done.
+//! The inputs of the pool (events) and its outputs (effects).
+//!
+//! Runs are tracked by hold calls: long polls that renew a worker's lease and return
+//! the runs that are active or ended there.
 
 use std::sync::Arc;
 
@@ -16,139 +19,142 @@
 use crate::spec::JobSpec;
 use crate::submit::Accepted;
 
-/// Events that the pool handles.
+/// An input of [`Pool::handle`](crate::Pool::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A job is durably accepted.
     Accepted {
-        /// The job.
+        /// The number that the caller chose for the job.
         job: JobId,
-        /// What was submitted.
+        /// The job as it was submitted.
         spec: Arc<JobSpec>,
     },
-    /// A cancellation is durable.
+    /// A cancellation is durable. It may arrive before its job.
     Cancelled {
-        /// The job.
+        /// The job to cancel.
         job: JobId,
     },
-    /// A worker is listed, for the first time or with new facts.
+    /// A worker was added to the worker list, or its entry changed.
     Listed(WorkerUpdate),
-    /// A worker is listed no longer.
+    /// A worker was removed from the worker list. Its runs may still be active.
     Unlisted {
-        /// The worker.
+        /// The worker that is no longer listed.
         worker: WorkerId,
     },
-    /// A hold was answered, or not.
+    /// A hold was answered or failed.
     Held {
-        /// The worker.
+        /// The worker that was called.
         worker: WorkerId,
         /// The turn of the pool in which the call was made.
         turn: u64,
-        /// What came back.
+        /// The worker's runs, or why they are not known.
         reply: Result<HoldReply, CallError>,
     },
-    /// A start was answered, or not.
+    /// A start was answered or failed.
     Started {
-        /// The task.
+        /// The task to be started.
         task: TaskId,
-        /// The run.
+        /// The number of the run.
         run: u32,
-        /// The worker.
+        /// The worker that was called.
         worker: WorkerId,
-        /// What came back.
+        /// The worker's answer, which may be a refusal, or why there is none.
         reply: Result<StartReply, CallError>,
     },
-    /// A stop was answered, or not.
+    /// A stop was answered or failed.
     Stopped {
-        /// The task.
+        /// The task to be stopped.
         task: TaskId,
-        /// The run.
+        /// The number of the run.
         run: u32,
-        /// The worker.
+        /// The worker that was called.
         worker: WorkerId,
-        /// What came back.
+        /// Whether the worker received the stop.
         reply: Result<(), CallError>,
     },
-    /// An order on a run's pace was answered, or not.
+    /// A call that sets a run's pace was answered or failed.
     Paced {
-        /// The task.
+        /// The task whose pace was set.
         task: TaskId,
-        /// The run.
+        /// The number of the run.
         run: u32,
-        /// The worker.
+        /// The worker that was called.
         worker: WorkerId,
-        /// What came back.
+        /// Whether the worker received the new pace.
         reply: Result<(), CallError>,
     },
-    /// The advisor answered; `None` is no answer or a refusal.
+    /// A request to the advisor was answered or failed.
     Advised {
-        /// The step.
+        /// The step that the request was about.
         step: StepId,
-        /// The workers asked about.
+        /// The workers that the request named.
         asked: Vec<WorkerId>,
-        /// What the advisor was expected to take.
+        /// The time that the advisor was expected to take, as in [`Effect::Advise`].
         cost_ms: u64,
-        /// Those that may run it.
+        /// The workers that may run the step; `None` if the advisor refused or did
+        /// not answer.
         granted: Option<Vec<Grant>>,
-        /// When the answer came, by the steady clock; it may have waited to be handled.
+        /// When the answer was received, by the monotonic clock. The event may have
+        /// been queued since.
         received_ms: u64,
     },
-    /// The manifest names these customers.
+    /// The customer manifest changed.
     Customers {
-        /// Their limits.
+        /// The limits of the customers that the manifest names.
         limits: Vec<CustomerLimits>,
     },
-    /// The advisor can be asked through this many daemons.
+    /// The number of daemons that can forward requests to the advisor changed.
     Advisors {
-        /// How many.
+        /// How many daemons there are; 0 counts as 1.
         count: usize,
     },
-    /// One part of a batch is durable.
+    /// The writes of a batch to one partition are durable.
     Committed {
-        /// The batch.
+        /// The number of the batch, as in [`Effect::Commit`].
         batch: u64,
-        /// The part.
+        /// The partition whose writes are durable.
         partition: usize,
     },
-    /// Whether the store has a submission cannot be told for some time.
+    /// It will not be known for some time whether the store has a submission.
     InDoubt {
-        /// The job.
+        /// The submitted job.
         job: JobId,
     },
-    /// The store will never have a submission.
+    /// The store does not have a submission and never will.
     Rejected {
-        /// The job.
+        /// The submitted job.
         job: JobId,
-        /// Why.
+        /// The answer for its caller.
         accepted: Accepted,
     },
 }
 
-/// What a worker's entry in the list says.
+/// A worker's entry in the worker list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerUpdate {
-    /// The worker.
+    /// The worker's name.
     pub worker: WorkerId,
-    /// Its IP and port.
+    /// Its IP address and port.
     pub address: String,
-    /// The service that it belongs to.
+    /// The service that it belongs to; only tasks of queues of this service run on it.
     pub service: String,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// What it holds.
+    /// The resources that it has for tasks in total.
     pub capacity: Resources,
-    /// Its kind and its rack.
+    /// Its kind, followed by its rack.
     pub labels: Vec<String>,
-    /// Whether it leaves soon.
+    /// Whether it will be shut down soon and takes no new tasks.
     pub draining: bool,
-    /// The least time that a leaving worker still has.
+    /// The time that a draining worker has left at least, if known.
     pub remaining_ms: Option<u64>,
-    /// Which start of the worker this is; rises with each.
+    /// Increases with every start of the worker process.
     pub incarnation: u64,
 }
 
 impl WorkerUpdate {
-    /// A worker that is known only by what it may still run.
+    /// Stands in for the list entry of a worker that is no longer listed but may still
+    /// have a run.
     pub fn unlisted(worker: WorkerId, address: String, service: String, incarnation: u64) -> Self {
         Self {
             worker,
@@ -164,47 +170,48 @@
     }
 }
 
-/// A worker's own account of what it runs.
+/// The answer to a hold: the worker's own list of its runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HoldReply {
-    /// The worker's clock.
+    /// The time on the worker's own clock, in milliseconds.
     pub clock_ms: u64,
-    /// Which start of the worker answers.
+    /// The incarnation of the worker that answers.
     pub life: u64,
-    /// What runs.
+    /// The runs that have not ended.
     pub active: Vec<ActiveRun>,
-    /// What ended and may not be forgotten yet, in the order of the numbers.
+    /// The runs that ended and that the worker may not forget yet, ordered by number.
     pub ended: Vec<EndedRun>,
 }
 
-/// A run at work.
+/// A run that has not ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ActiveRun {
-    /// The task.
+    /// The task that is run.
     pub task: TaskId,
-    /// The run.
+    /// The number of the run.
     pub run: u32,
-    /// The newest checkpoint; empty is none.
+    /// The newest checkpoint; empty if there is none.
     pub checkpoint: String,
-    /// How much of it is done.
+    /// The progress of the run, 0 to 100.
     pub percent: u32,
-    /// For a task that serves users, the tail of their response times in
-    /// milliseconds; for others, the processors in use in thousandths.
+    /// For a task that serves users, its tail response time in milliseconds; for other
+    /// tasks, the CPU in use in millicores.
     pub load: u64,
 }
 
 /// A run that ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedRun {
-    /// Its number in the worker's list, from 1 in each life.
+    /// Its number in the worker's list of ended runs, which starts from 1 in each
+    /// incarnation.
     pub number: u64,
-    /// The task.
+    /// The task that was run.
     pub task: TaskId,
-    /// The run.
+    /// The number of the run.
     pub run: u32,
-    /// How it ended.
+    /// How the run ended.
     pub end: RunOutcome,
-    /// The newest checkpoint; empty is none.
+    /// The newest checkpoint; empty if there is none.
     pub checkpoint: String,
 }
 
@@ -225,7 +232,7 @@
     Alone,
 }
 
-/// What a worker says to a start.
+/// A worker's answer to a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, displaydoc::Display)]
 pub enum StartReply {
     /// started
@@ -246,7 +253,7 @@
     Rejected,
 }
 
-/// A call that brought no answer of use.
+/// Why a call to a worker has no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, displaydoc::Display)]
 pub enum CallError {
     /// the connection was refused, so nothing was sent; the worker may run on behind a firewall
@@ -263,126 +270,130 @@
     Unwell,
 }
 
-/// A worker that may run a step.
+/// The advisor's permission to run a step on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// The worker.
+    /// The worker that may run the step.
     pub worker: WorkerId,
-    /// What a start has to show.
+    /// The ticket that a start on this worker has to carry.
     pub ticket: String,
 }
 
-/// Something to be done.
+/// An output of [`Pool::poll_effects`](crate::Pool::poll_effects).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Ask a worker for its lists, and extend its lease.
+    /// Get the list of a worker's runs and renew its lease.
     Hold(HoldCall),
     /// Start a run.
     Start(StartCall),
     /// Stop a run.
     Stop(StopCall),
-    /// Let a run work at a share of its speed.
+    /// Set the pace of a run.
     Pace(PaceCall),
     /// Ask the advisor which workers may run a step.
     Advise {
-        /// The step.
+        /// The step to be run.
         step: StepId,
-        /// The workers asked about.
+        /// The workers to decide about.
         workers: Vec<WorkerId>,
-        /// The rank of its queue; 0 goes first.
+        /// The priority of the step's queue; 0 is the most urgent.
         priority: u32,
-        /// What the advisor will take for it.
+        /// The time that the advisor is expected to take.
         cost_ms: u64,
     },
-    /// Make rows durable, under the condition that this daemon still schedules.
+    /// Make rows durable, on the condition that this daemon is still the leader.
     Commit {
         /// The number of the batch.
         batch: u64,
-        /// The rows, by part.
+        /// The writes, one for each partition. They may become durable one by one.
         writes: Vec<PartitionWrite>,
     },
-    /// Tell a caller what became of its submission.
+    /// Answer the caller of a submission.
     Answer {
-        /// The job.
+        /// The submitted job.
         job: JobId,
-        /// What became of it.
+        /// Whether the submission is durable.
         accepted: Accepted,
     },
-    /// Another daemon schedules this pool now.
+    /// Give up leadership: another daemon is the leader of this pool.
     StepDown,
 }
 
-/// Where a call goes.
+/// The destination of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Callee {
-    /// The worker.
+    /// The worker to be called.
     pub worker: WorkerId,
-    /// Its IP and port.
+    /// Its IP address and port.
     pub address: String,
-    /// The fencing token.
+    /// The fencing token, which the worker compares with the highest one it has seen.
     pub token: u64,
 }
 
-/// A question for a worker's lists.
+/// A long poll that renews a worker's lease and returns the list of its runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HoldCall {
-    /// Where it goes.
+    /// The worker to be polled.
     pub to: Callee,
-    /// Until when everything there may run, by the worker's clock.
+    /// When the lease on all runs of the worker expires, by the worker's clock; `None`
+    /// does not renew it.
     pub until_ms: Option<u64>,
-    /// Ends up to this number may be forgotten.
+    /// The worker may forget ended runs up to this number.
     pub forget: u64,
-    /// How long the answer may wait for an end.
+    /// How long the worker may wait for a run to end before it answers.
     pub wait_ms: u64,
-    /// The turn of the pool in which the call was made; given back with the answer.
+    /// The turn of the pool in which the call was made; returned with the answer.
     pub turn: u64,
 }
 
-/// An order to start a run.
+/// A call that starts a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartCall {
-    /// Where it goes.
+    /// The worker to run the task.
     pub to: Callee,
-    /// The task.
+    /// The task to be run.
     pub task: TaskId,
-    /// The run.
+    /// The number of the run.
     pub run: u32,
-    /// The payload of its job; not encoded with the call, since a job's starts share it.
+    /// The payload of the job. It is not encoded with the call, since all starts of a
+    /// job share it.
     #[serde(skip)]
     pub spec: Arc<JobPayload>,
-    /// Until when everything there may run, by the worker's clock; the order is void after it.
+    /// When the lease on all runs of the worker expires, by the worker's clock. The
+    /// start is void after that.
     pub until_ms: u64,
-    /// The checkpoint to go on from; empty is none.
+    /// The checkpoint to resume from; empty if there is none.
     pub checkpoint: String,
-    /// The advisor's ticket, where one is needed.
+    /// The advisor's ticket; `None` if the queue has no advisor.
     pub ticket: Option<String>,
-    /// When the order was made; one that is sent much later must not be sent.
+    /// When the call was made. It must not be sent much later.
     pub made_ms: u64,
 }
 
 /// The payload of a job, shared by its starts.
 pub type JobPayload = str;
 
-/// An order to stop a run.
+/// A call that stops a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StopCall {
-    /// Where it goes.
+    /// The worker that has the run or may have it.
     pub to: Callee,
-    /// The task.
+    /// The task to be stopped.
     pub task: TaskId,
-    /// The run.
+    /// The number of the run.
     pub run: u32,
 }
 
-/// An order to let a run work, and disturb others, at a share of its speed.
+/// A call that limits the speed of a run, and with it the load that the run puts on
+/// others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PaceCall {
-    /// Where it goes.
+    /// The worker that has the run.
     pub to: Callee,
-    /// The task.
+    /// The task to be paced.
     pub task: TaskId,
-    /// The run.
+    /// The number of the run.
     pub run: u32,
-    /// The share in hundredths.
+    /// The share of its full speed at which the run may work, in percent.
     pub percent: u32,
 }
--- a/crates/pool/src/id.rs
+++ b/crates/pool/src/id.rs
@@ -1,6 +1,6 @@
-//! Names of jobs, steps and tasks as callers and workers know them.
+//! Ids of jobs, steps and tasks, as callers and workers use them.
 //!
-//! Formats that people read carry them as text, binary ones as numbers.
+//! Human-readable formats carry them as text, binary formats as numbers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,34 +12,34 @@
 use serde::de::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A job, by the number that its caller chose.
+/// The id of a job: the number that its caller chose.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
-/// Parts of the store over which jobs are spread.
+/// The number of partitions of the store over which jobs are spread.
 ///
-/// The store writes one transaction of a part after another, and takes 180 ms for each
-/// when it is sixty times slower than usual. A new leader has to fence and to read each
-/// part, so there are not many more than it takes to get through a burst then.
+/// The store processes the transactions of a partition one after the other, and takes
+/// 180 ms for each when it is sixty times slower than usual. A new leader has to fence and
+/// read every partition, so there are not many more than a burst needs in that case.
 pub const PARTITIONS: usize = 32;
 
-/// One step of one occurrence of a job.
+/// The id of one step of one occurrence of a job.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StepId {
-    /// The job.
+    /// The job that the step belongs to.
     pub job: JobId,
-    /// Which occurrence of a repeated job, from 0.
+    /// The index of the occurrence, from 0; 0 if the job is not repeated.
     pub occurrence: u32,
-    /// Which step, from 0.
+    /// The index of the step in the job, from 0.
     pub step: u32,
 }
 
-/// One task of a step.
+/// The id of one task of a step.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The step that it belongs to.
+    /// The step that the task belongs to.
     pub step: StepId,
-    /// Its place in the step, from 0.
+    /// The index of the task in the step, from 0.
     pub index: u32,
 }
 
@@ -50,7 +50,7 @@
 impl std::error::Error for IdError {}
 
 impl JobId {
-    /// The part of the store in which the job's rows lie.
+    /// The partition of the store that has the job's rows, below [`PARTITIONS`].
     pub fn partition(&self) -> usize {
         xxh3_64(self.to_string().as_bytes()) as usize % PARTITIONS
     }
@@ -71,7 +71,7 @@
 impl FromStr for JobId {
     type Err = IdError;
 
-    /// Takes the one spelling that [`fmt::Display`] writes, so that no two texts name one job.
+    /// Accepts only the form that [`fmt::Display`] writes, so that a job has one spelling.
     fn from_str(text: &str) -> Result<Self, IdError> {
         let lower_hex = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
         if text.len() != 16 || !text.bytes().all(lower_hex) {
@@ -97,11 +97,11 @@
     type Err = IdError;
 
     fn from_str(text: &str) -> Result<Self, IdError> {
-        let mut parts = text.split('.');
-        let job = parts.next().ok_or(IdError)?.parse()?;
-        let occurrence = number(parts.next())?;
-        let step = number(parts.next())?;
-        if parts.next().is_some() {
+        let mut segments = text.split('.');
+        let job = segments.next().ok_or(IdError)?.parse()?;
+        let occurrence = parse_number(segments.next())?;
+        let step = parse_number(segments.next())?;
+        if segments.next().is_some() {
             return Err(IdError);
         }
         Ok(Self { job, occurrence, step })
@@ -125,15 +125,15 @@
 
     fn from_str(text: &str) -> Result<Self, IdError> {
         let (step, index) = text.rsplit_once('.').ok_or(IdError)?;
-        Ok(Self { step: step.parse()?, index: number(Some(index))? })
+        Ok(Self { step: step.parse()?, index: parse_number(Some(index))? })
     }
 }
 
-fn number(part: Option<&str>) -> Result<u32, IdError> {
-    part.ok_or(IdError)?.parse().map_err(|_error| IdError)
+fn parse_number(segment: Option<&str>) -> Result<u32, IdError> {
+    segment.ok_or(IdError)?.parse().map_err(|_error| IdError)
 }
 
-macro_rules! text_or_numbers {
+macro_rules! impl_id_serde {
     ($id:ty, $numbers:ty, $to:expr, $from:expr) => {
         impl Serialize for $id {
             fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
@@ -158,8 +158,8 @@
     };
 }
 
-text_or_numbers!(JobId, u64, |id| id.0, JobId);
-text_or_numbers!(StepId, (JobId, u32, u32), |id| (id.job, id.occurrence, id.step), |(
+impl_id_serde!(JobId, u64, |id| id.0, JobId);
+impl_id_serde!(StepId, (JobId, u32, u32), |id| (id.job, id.occurrence, id.step), |(
     job,
     occurrence,
     step,
@@ -168,7 +168,7 @@
     occurrence,
     step
 });
-text_or_numbers!(TaskId, (StepId, u32), |id| (id.step, id.index), |(step, index)| TaskId {
+impl_id_serde!(TaskId, (StepId, u32), |id| (id.step, id.index), |(step, index)| TaskId {
     step,
     index
 });
--- a/crates/pool/src/record.rs
+++ b/crates/pool/src/record.rs
@@ -1,8 +1,8 @@
-//! The durable progress of a job, one row in the store.
+//! The durable progress of a job, which is one row in the store.
 //!
-//! A start is written here before it is sent and an end before the worker may
-//! forget it. After a change of scheduler, the row and the workers' own lists
-//! together tell where everything runs.
+//! A start is recorded in the row before it is sent, and the end of a run before its worker
+//! may forget it. After a change of leader, the rows and the workers' own lists together
+//! tell where every run is.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -21,7 +21,7 @@
     Cancelled,
 }
 
-/// What a caller is told of a job.
+/// The state of a job as callers see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, displaydoc::Display)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
@@ -37,12 +37,12 @@
     Cancelled,
 }
 
-/// Where a job stands, and whose it is.
+/// The state and the owner of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
-    /// Where it stands.
+    /// The state as callers see it.
     pub state: JobState,
-    /// Whose it is; none is anybody's.
+    /// The customer that owns the job; `None` if the job belongs to no customer.
     pub customer: Option<CustomerName>,
 }
 
@@ -56,63 +56,62 @@
     }
 }
 
-/// What is durable of a job beside what was submitted.
+/// The durable state of a job beside its submission.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Compact", into = "Compact")]
 pub struct Progress {
-    /// How it ended, once it did.
+    /// How the job ended; `None` while it has not.
     pub outcome: Option<Outcome>,
-    /// When it ended, in Unix time; 0 before.
+    /// When the job ended, in Unix time; 0 while it has not.
     pub finished_unix_ms: u64,
-    /// Tasks that were ever sent anywhere.
+    /// The tasks that were ever sent to a worker.
     pub tasks: Vec<TaskProgress>,
 }
 
-/// What is durable of a task.
+/// The durable state of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TaskProgress {
-    /// Its step's place among the steps of all occurrences.
+    /// The index of the task's step among the steps of all occurrences.
     pub unit: u32,
-    /// Its place in the step.
+    /// The index of the task in its step.
     pub index: u32,
     /// The newest run that may have been sent.
     pub run: u32,
-    /// Runs that failed.
+    /// The number of runs that failed.
     pub failures: u32,
     /// The newest run that failed, so that a gang's failure counts once.
     pub failed_run: u32,
-    /// Whether it is done.
+    /// Whether the task needs no further run.
     pub done: bool,
-    /// Where the newest run may be, while it may be anywhere.
+    /// The worker on which the newest run may be; `None` if it is certainly on none.
     pub worker: Option<WorkerId>,
-    /// That worker's address, so that it is found also when it is listed no more.
+    /// The worker's address, so that it can be reached even if it is no longer listed.
     pub address: String,
-    /// Which life of the worker the run was sent to; nothing of it is in a later one.
+    /// The incarnation of the worker that the run was sent to; the run does not survive it.
     pub incarnation: u64,
-    /// The newest checkpoint that is known; empty is none.
+    /// The newest known checkpoint; empty if there is none.
     pub checkpoint: String,
 }
 
-/// A row as it is written: workers once each, tasks as short lists. Rows are
-/// written a few times for each task, and a named field for each figure made
-/// them much longer.
+/// The stored form of [`Progress`]: each worker is listed once, and each task is a tuple.
+/// Rows are written a few times for each task, and named fields made them much longer.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct Compact {
     #[serde(default, skip_serializing_if = "Option::is_none")]
     outcome: Option<Outcome>,
     #[serde(default, skip_serializing_if = "is_zero")]
     finished_unix_ms: u64,
-    /// Name, address and life.
+    /// Name, address and incarnation.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     workers: Vec<(WorkerId, String, u64)>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     tasks: Vec<CompactTask>,
 }
 
-/// Unit, index, run, failures, newest failed run, where, checkpoint.
+/// Unit, index, run, failures, newest failed run, place, checkpoint.
 type CompactTask = (u32, u32, u32, u32, u32, Place, String);
 
-/// Where a task is: a worker by its place in the list, nowhere, or done.
+/// The index of the task's worker in the list, [`NOWHERE`] or [`DONE`].
 type Place = i32;
 
 const NOWHERE: Place = -1;
@@ -125,14 +124,14 @@
         for task in progress.tasks {
             let mut place = if task.done { DONE } else { NOWHERE };
             if let Some(worker) = task.worker.filter(|_| !task.done) {
-                let same = |known: &(WorkerId, String, u64)| {
+                let is_same = |known: &(WorkerId, String, u64)| {
                     known.0 == worker && known.1 == task.address && known.2 == task.incarnation
                 };
-                let at = workers.iter().position(same).unwrap_or_else(|| {
+                let worker_index = workers.iter().position(is_same).unwrap_or_else(|| {
                     workers.push((worker, task.address, task.incarnation));
                     workers.len() - 1
                 });
-                place = at as Place;
+                place = worker_index as Place;
             }
             let (unit, index, run) = (task.unit, task.index, task.run);
             tasks.push((unit, index, run, task.failures, task.failed_run, place, task.checkpoint));
@@ -156,8 +155,9 @@
                 done,
                 ..TaskProgress::default()
             };
-            let at = usize::try_from(place).ok().and_then(|at| compact.workers.get(at)).cloned();
-            let task = match at {
+            let worker =
+                usize::try_from(place).ok().and_then(|index| compact.workers.get(index)).cloned();
+            let task = match worker {
                 Some((worker, address, incarnation)) => {
                     TaskProgress { worker: Some(worker), address, incarnation, ..task }
                 }
@@ -171,7 +171,7 @@
 }
 
 impl Progress {
-    /// What a caller is told by the row alone.
+    /// The state of the job as far as the row alone tells it.
     pub fn state(&self) -> JobState {
         if let Some(outcome) = self.outcome {
             return outcome.into();
