--- a/crates/pool/src/advise.rs
+++ b/crates/pool/src/advise.rs
@@ -54,13 +54,13 @@
     /// would let few jobs through.
     pub(crate) fn asked_max(&self, queue: &QueueSpec, tasks: u64, places_each: u64) -> usize {
         let each_ms = queue.advice.map_or(0.0, |rule| rule.each_ms);
-        let crowded = self.questions > self.advisors * QUESTIONS_EACH_MAX;
+        let crowded = self.queries > self.advisor_daemons * QUESTIONS_EACH_MAX;
         let affordable = match each_ms {
             _ if crowded => 0,
             each_ms if each_ms > 0.0 => (EACH_BUDGET_MS / each_ms) as usize,
             _ => usize::MAX,
         };
-        let places_each = places_each.max(1) as f64 * self.learned.granted_share(&queue.name);
+        let places_each = places_each.max(1) as f64 * self.estimates.granted_share(&queue.name);
         let needed = ((tasks * PLACES_FACTOR) as f64 / places_each).ceil() as usize;
         affordable.max(needed).clamp(ASKED_MIN, self.limits.advice_workers_max)
     }
@@ -77,7 +77,7 @@
 
     /// How many more long questions may be under way.
     fn long_questions_left(&self) -> usize {
-        long_questions_max(self.advisors).saturating_sub(self.long_questions)
+        long_questions_max(self.advisor_daemons).saturating_sub(self.long_queries)
     }
 
     /// Asks the advisor about these workers, in as many questions as it takes.
@@ -89,9 +89,9 @@
         let questions = workers.len().div_ceil(self.limits.advice_workers_max).max(1);
         for some in workers.chunks(workers.len().div_ceil(questions).max(1)) {
             let cost_ms = cost_ms(rule, some.len());
-            job.units[unit].advice.questions += 1;
-            self.questions += 1;
-            self.long_questions += usize::from(cost_ms >= LONG_ASK_MS);
+            job.units[unit].advice.queries += 1;
+            self.queries += 1;
+            self.long_queries += usize::from(cost_ms >= LONG_ASK_MS);
             let workers = some.to_vec();
             self.effects.push(Effect::Advise { step, workers, priority, cost_ms });
         }
@@ -106,19 +106,19 @@
         received_ms: u64,
     ) {
         let now_ms = self.now_ms;
-        self.questions = self.questions.saturating_sub(1);
+        self.queries = self.queries.saturating_sub(1);
         if cost_ms >= LONG_ASK_MS {
-            self.long_questions = self.long_questions.saturating_sub(1);
+            self.long_queries = self.long_queries.saturating_sub(1);
         }
         let Some(job) = self.jobs.get_mut(&step.job) else { return };
         let Some(rule) = job.spec.queue.advice else { return };
         let Some(unit) = job.unit_of(step) else { return };
         job.units[unit].retry_at_ms = 0;
         let advice = &mut job.units[unit].advice;
-        advice.questions = advice.questions.saturating_sub(1);
+        advice.queries = advice.queries.saturating_sub(1);
         advice.retry_at_ms = 0;
         if let Some(granted) = &granted {
-            self.learned.advised(&job.spec.queue.name, asked.len(), granted.len());
+            self.estimates.advised(&job.spec.queue.name, asked.len(), granted.len());
         }
         match granted {
             None => advice.pause_until_ms = now_ms + ADVICE_PAUSE_MS,
@@ -136,7 +136,7 @@
             }
         }
         self.start_reserved(step);
-        self.place_due = true;
+        self.cycle_due = true;
     }
 
     /// Starts the tasks that waited for tickets, or frees their room.
@@ -183,7 +183,7 @@
     /// the refused starts would keep the store busy for as long as it is slow.
     pub(crate) fn sent_ms(&self, job: JobId, advice: Option<AdviceSpec>) -> u64 {
         let valid_ms = advice.map_or(0, |rule| rule.valid_ms);
-        let writes_ms = self.commits.usual_ms(job, self.now_ms) * 2;
+        let writes_ms = self.commits.expected_batch_ms(job, self.now_ms) * 2;
         // Never so long that a ticket could not be fresh at all.
         let margin_ms = (TICKET_MARGIN_MS + writes_ms).min(valid_ms * TICKET_MARGIN_PERCENT / 100);
         self.now_ms + margin_ms
--- a/crates/pool/src/choose.rs
+++ b/crates/pool/src/choose.rs
@@ -185,7 +185,7 @@
     pub(crate) fn begin_cycle(&self) -> Cycle {
         let mut cycle = Cycle { customers: self.customers_use(), ..Cycle::default() };
         cycle.rooms.reserve(self.workers.len());
-        cycle.places.resize(self.names.len(), None);
+        cycle.places.resize(self.worker_names.len(), None);
         let blamed = self.blamed_services();
         for worker in self.workers.values() {
             let acquitted = worker.is_only_suspect(self.now_ms)
@@ -217,7 +217,7 @@
 
     /// The worker of a slot, if it is still known.
     pub(crate) fn worker_at(&self, slot: Slot) -> Option<&Worker> {
-        self.workers.get(self.names.get(slot.0)?)
+        self.workers.get(self.worker_names.get(slot.0)?)
     }
 
     /// Services whose failed runs are their workers' fault, for all one knows.
@@ -321,11 +321,11 @@
             return Resources::ZERO;
         };
         let service = &job.spec.queue.service;
-        let urgent = self.learned.usual_use(service, 0..1).share(HEADROOM_PERCENT, 100);
+        let urgent = self.estimates.usual_use(service, 0..1).share(HEADROOM_PERCENT, 100);
         if self.spare_ms(key, step) < self.needs_ms(step) as i64 {
             return urgent;
         }
-        let between = self.learned.usual_use(service, 1..key.priority);
+        let between = self.estimates.usual_use(service, 1..key.priority);
         urgent.plus(&between.share(PATIENT_HEADROOM_PERCENT, 100))
     }
 
--- a/crates/pool/src/commit.rs
+++ b/crates/pool/src/commit.rs
@@ -1,13 +1,15 @@
-//! Group commit: what depends on a row happens after the batch that holds it.
+//! Group commit: an action that depends on a row is taken after the batch with the row is
+//! durable.
 //!
-//! Rows lie in parts of the store, and the store writes one transaction of a part after
-//! another. So one batch of a part is under way at a time. While the store is fast, rows of
-//! several parts go in one transaction: with hundreds of starts and ends a second, a call
-//! for each would cost more than it saves. While it is slow or some of its parts fail,
-//! each part has its own transactions, so that none waits for the slowest one.
+//! Rows are spread over partitions of the store. The store processes the transactions of a
+//! partition one after the other, so each partition has at most one batch in flight. While
+//! the store is fast, the rows of several partitions share a transaction: with hundreds of
+//! starts and ends a second, one call for each would cost more than it saves. While the
+//! store is slow or some of its partitions fail, each partition has its own transactions, so
+//! that none waits for the slowest.
 //!
-//! A submission is made durable here too. It waits a moment for its first start, which
-//! then needs no write of its own.
+//! Submissions are made durable here too. The write of a submission is delayed briefly for
+//! its first start, which then needs no write of its own.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -24,242 +26,250 @@
 use crate::spec::JobSpec;
 use crate::submit::Accepted;
 
-/// Entries of one transaction, of the 100 that the store takes. A row is one, a
-/// submission two, and each part has one for its fence.
+/// Most entries of one transaction; the store accepts 100. A row is one entry, a
+/// submission two, and each partition has one for its fence.
 const ENTRIES_MAX: usize = 96;
-/// Parts in one transaction.
-const PARTS_MAX: usize = 24;
-/// Batches of several parts that are under way at one time.
-const GROUPS_MAX: usize = 1;
-/// A store that takes longer than this for a batch is slow.
-const SLOW_MS: u64 = 60;
-/// A batch counts as having taken this at most: one that waited for an outage to end says
-/// little of the next.
-const TOOK_MAX_MS: u64 = 500;
-/// How long a submission waits for its first start: some round trips to the advisor.
-const START_WAIT_MS: u64 = 40;
-/// A part whose batch takes longer than this, and than some usual ones, is stuck.
+/// Most partitions in one transaction.
+const PARTITIONS_PER_GROUP_MAX: usize = 24;
+/// Most batches of several partitions in flight at the same time.
+const GROUPS_IN_FLIGHT_MAX: usize = 1;
+/// The store is slow if it takes longer than this for a batch.
+const SLOW_BATCH_MS: u64 = 60;
+/// A batch counts with at most this time in the mean: one that waited for the end of an
+/// outage says little about the next.
+const BATCH_SAMPLE_MAX_MS: u64 = 500;
+/// How long the write of a submission is delayed for its first start: a few round trips to
+/// the advisor.
+const FIRST_START_WAIT_MS: u64 = 40;
+/// A partition is stuck if its batch takes longer than this and longer than
+/// [`STUCK_FACTOR`] times the mean.
 const STUCK_MIN_MS: u64 = 350;
-/// The same in usual times.
-const STUCK_USUAL: u64 = 3;
+/// See [`STUCK_MIN_MS`].
+const STUCK_FACTOR: u64 = 3;
 
-/// About what a row takes in a call to the store, without its tasks ...
+/// Approximate size of a progress row in a call to the store, without its tasks.
 const ROW_BYTES: usize = 150;
-/// ... and for each task.
+/// Approximate size of each task in a progress row.
 const TASK_BYTES: usize = 100;
-/// About what a submission takes without its payload, for each step.
+/// Approximate size of each step of a submission, without the payload.
 const STEP_BYTES: usize = 400;
 
-/// What has to be written, and what follows from it.
+/// The rows that have to be written, and the actions that wait for them.
 #[derive(Debug)]
 pub(crate) struct Commits {
-    next: u64,
-    parts: Vec<Part>,
-    /// What the last batches took, smoothed.
-    took_ms: u64,
+    /// The number of the newest batch.
+    last_batch: u64,
+    partitions: Vec<Partition>,
+    /// Moving average of the time from sending a batch until it is durable.
+    mean_batch_ms: u64,
 }
 
-/// What has to be written to one part.
+/// The pending writes of one partition.
 #[derive(Debug, Default)]
-struct Part {
+struct Partition {
     dirty: BTreeMap<JobId, Dirty>,
-    /// The dirty jobs in the order in which they became so: by their numbers,
-    /// some would wait for as long as there are more than one batch holds.
+    /// The dirty jobs in the order in which they became dirty. In the order of their
+    /// numbers, some would wait for as long as more jobs are dirty than fit into a batch.
     order: VecDeque<JobId>,
     removes: Vec<JobId>,
-    under_way: Option<UnderWay>,
+    in_flight: Option<InFlight>,
 }
 
 /// A job whose row has to be written.
 #[derive(Debug, Default)]
 struct Dirty {
-    afters: Vec<After>,
-    /// When it goes at the latest.
+    actions: Vec<AfterCommit>,
+    /// The latest time to send the row.
     due_ms: u64,
 }
 
-/// A batch that is being written.
+/// A partition's batch that was sent and is not durable yet.
 #[derive(Debug)]
-struct UnderWay {
+struct InFlight {
     batch: u64,
     since_ms: u64,
-    /// Whether it goes together with other parts.
+    /// Whether the transaction may span several partitions.
     grouped: bool,
     jobs: Vec<JobId>,
-    afters: Vec<After>,
+    actions: Vec<AfterCommit>,
 }
 
-/// Rows of one part to be written together.
+/// Writes to one partition that become durable together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartitionWrite {
-    /// The part.
+    /// The partition's number, below [`PARTITIONS`].
     pub partition: usize,
-    /// The rows of jobs.
+    /// The rows to be written, at most one entry for each job.
     pub puts: Vec<Put>,
-    /// Jobs of which nothing shall be left.
+    /// Jobs whose rows are all to be removed.
     pub removes: Vec<JobId>,
 }
 
-/// The rows of one job.
+/// The rows of one job that have to be written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Put {
-    /// The job.
+    /// The job that the rows belong to.
     pub job: JobId,
-    /// What was submitted, if that is not durable yet.
+    /// The submission, if it is not durable yet.
     pub submission: Option<Arc<JobSpec>>,
-    /// How far it is, if any of it was ever sent anywhere or it is over.
+    /// The progress, if any task was ever sent to a worker or the job has ended.
     pub progress: Option<Progress>,
 }
 
-/// What happens once a row is durable.
+/// An action to be taken once a job's row is durable.
 #[derive(Clone, Debug)]
-pub(crate) enum After {
-    /// The caller is told that the job is accepted.
+pub(crate) enum AfterCommit {
+    /// Tell the caller that the job is accepted.
     Accept(JobId),
-    /// A start is sent.
+    /// Send a start.
     Start {
-        /// The task.
+        /// The task to be started.
         task: TaskId,
-        /// The run.
+        /// The number of the run.
         run: u32,
     },
-    /// A worker may forget an end.
+    /// Let a worker forget an ended run.
     Forget {
-        /// The worker.
+        /// The worker that listed the run.
         worker: WorkerId,
-        /// The life that listed it.
+        /// The incarnation of the worker that listed the run.
         incarnation: u64,
-        /// The end.
+        /// The number of the run in the worker's list.
         number: u64,
     },
-    /// Callers are told the outcome.
-    Settle(JobId),
+    /// Report the outcome of the job to callers.
+    ReportOutcome(JobId),
 }
 
 impl Default for Commits {
     fn default() -> Self {
-        let parts = std::iter::repeat_with(Part::default).take(PARTITIONS).collect();
-        Self { next: 0, parts, took_ms: 0 }
+        let partitions = std::iter::repeat_with(Partition::default).take(PARTITIONS).collect();
+        Self { last_batch: 0, partitions, mean_batch_ms: 0 }
     }
 }
 
 impl Commits {
-    /// Asks for a job's row to be written now.
-    pub fn note(&mut self, job: JobId, after: After) {
-        self.note_by(job, after, 0);
+    /// Requests that a job's row is written as soon as possible, followed by an action.
+    pub fn mark_dirty(&mut self, job: JobId, action: AfterCommit) {
+        self.mark_dirty_by(job, action, 0);
     }
 
-    /// Asks for a job's row to be written by a moment.
-    fn note_by(&mut self, job: JobId, after: After, due_ms: u64) {
-        let part = &mut self.parts[job.partition()];
-        let dirty = part.dirty.entry(job).or_insert_with(|| {
-            part.order.push_back(job);
-            Dirty { afters: Vec::new(), due_ms }
+    /// Requests that a job's row is sent by `due_ms` at the latest, followed by an action.
+    fn mark_dirty_by(&mut self, job: JobId, action: AfterCommit, due_ms: u64) {
+        let partition = &mut self.partitions[job.partition()];
+        let dirty = partition.dirty.entry(job).or_insert_with(|| {
+            partition.order.push_back(job);
+            Dirty { actions: Vec::new(), due_ms }
         });
         dirty.due_ms = dirty.due_ms.min(due_ms);
-        dirty.afters.push(after);
+        dirty.actions.push(action);
     }
 
-    /// Asks for a job's row with its outcome to be written.
-    pub fn settle(&mut self, job: JobId) {
-        self.note(job, After::Settle(job));
+    /// Requests that a job's row is written with its outcome, which is then reported.
+    pub fn record_outcome(&mut self, job: JobId) {
+        self.mark_dirty(job, AfterCommit::ReportOutcome(job));
     }
 
-    /// Asks for a job's rows to be removed.
+    /// Requests that all rows of a job are removed.
     pub fn remove(&mut self, job: JobId) {
-        self.parts[job.partition()].removes.push(job);
+        self.partitions[job.partition()].removes.push(job);
     }
 
-    /// Drops what waits to be written of a job; `false` if its row is being written.
+    /// Drops a job's row that waits to be written; `false` if it is being written already.
     pub fn withdraw(&mut self, job: JobId) -> bool {
-        let part = &mut self.parts[job.partition()];
-        if part.under_way.as_ref().is_some_and(|batch| batch.jobs.contains(&job)) {
+        let partition = &mut self.partitions[job.partition()];
+        if partition.in_flight.as_ref().is_some_and(|batch| batch.jobs.contains(&job)) {
             return false;
         }
-        part.dirty.remove(&job);
-        part.order.retain(|other| *other != job);
+        partition.dirty.remove(&job);
+        partition.order.retain(|other| *other != job);
         true
     }
 
-    /// Whether a job's row is being written or waits for its turn.
-    pub fn holds(&self, job: JobId) -> bool {
-        let part = &self.parts[job.partition()];
-        part.dirty.contains_key(&job)
-            || part.under_way.as_ref().is_some_and(|batch| batch.jobs.contains(&job))
+    /// Whether a job's row is being written or waits to be written.
+    pub fn has_pending(&self, job: JobId) -> bool {
+        let partition = &self.partitions[job.partition()];
+        partition.dirty.contains_key(&job)
+            || partition.in_flight.as_ref().is_some_and(|batch| batch.jobs.contains(&job))
     }
 
-    /// Whether a part takes so long that what comes now would only wait behind it.
-    fn is_stuck(&self, part: usize, now_ms: u64) -> bool {
-        let allowed_ms = STUCK_MIN_MS.max(self.took_ms * STUCK_USUAL);
-        let since_ms = self.parts[part].under_way.as_ref().map(|batch| batch.since_ms);
+    /// Whether a partition's batch takes so long that new writes would only wait behind it.
+    fn is_stuck(&self, partition: usize, now_ms: u64) -> bool {
+        let allowed_ms = STUCK_MIN_MS.max(self.mean_batch_ms * STUCK_FACTOR);
+        let since_ms = self.partitions[partition].in_flight.as_ref().map(|batch| batch.since_ms);
         since_ms.is_some_and(|since_ms| since_ms + allowed_ms < now_ms)
     }
 
-    /// Submissions that wait behind a part that is stuck.
+    /// Jobs whose rows wait behind a stuck partition.
     fn waiting_behind_stuck(&self, now_ms: u64) -> Vec<JobId> {
         let mut waiting = Vec::new();
-        for (number, part) in self.parts.iter().enumerate() {
+        for (number, partition) in self.partitions.iter().enumerate() {
             if self.is_stuck(number, now_ms) {
-                waiting.extend(part.dirty.keys());
+                waiting.extend(partition.dirty.keys());
             }
         }
         waiting
     }
 
-    /// What a batch of the job's part takes: the mean of the last ones, or longer if the
-    /// one under way already does.
-    pub fn usual_ms(&self, job: JobId, now_ms: u64) -> u64 {
-        let under_way = self.parts[job.partition()].under_way.as_ref();
-        let age_ms = under_way.map_or(0, |batch| now_ms.saturating_sub(batch.since_ms));
-        self.took_ms.max(age_ms)
+    /// The time that a batch of the job's partition is expected to take: the mean, or the
+    /// age of the batch in flight if that is longer.
+    pub fn expected_batch_ms(&self, job: JobId, now_ms: u64) -> u64 {
+        let in_flight = self.partitions[job.partition()].in_flight.as_ref();
+        let age_ms = in_flight.map_or(0, |batch| now_ms.saturating_sub(batch.since_ms));
+        self.mean_batch_ms.max(age_ms)
     }
 
-    /// Whether batches take long, or one of those under way does.
+    /// Whether batches take long on average, or one of those in flight does.
     fn is_slow(&self, now_ms: u64) -> bool {
-        let mut under_way = self.parts.iter().filter_map(|part| part.under_way.as_ref());
-        self.took_ms > SLOW_MS || under_way.any(|batch| batch.since_ms + SLOW_MS < now_ms)
+        let mut in_flight =
+            self.partitions.iter().filter_map(|partition| partition.in_flight.as_ref());
+        self.mean_batch_ms > SLOW_BATCH_MS
+            || in_flight.any(|batch| batch.since_ms + SLOW_BATCH_MS < now_ms)
     }
 
-    /// Whether a batch is under way or waits.
+    /// Whether a row is being written or waits to be written.
     pub fn is_busy(&self) -> bool {
-        self.parts.iter().any(|part| part.under_way.is_some() || !part.dirty.is_empty())
+        self.partitions
+            .iter()
+            .any(|partition| partition.in_flight.is_some() || !partition.dirty.is_empty())
     }
 
-    /// When the next batch has to go that waits for nothing but time.
+    /// When the next row is due whose partition has no batch in flight.
     pub fn due_ms(&self) -> Option<u64> {
-        let idle = self.parts.iter().filter(|part| part.under_way.is_none());
-        idle.flat_map(|part| part.dirty.values().map(|dirty| dirty.due_ms)).min()
+        let idle = self.partitions.iter().filter(|partition| partition.in_flight.is_none());
+        idle.flat_map(|partition| partition.dirty.values().map(|dirty| dirty.due_ms)).min()
     }
 
-    /// Whether batches of several parts that are under way leave no room for another.
-    fn is_grouping(&self) -> bool {
+    /// Whether as many batches of several partitions are in flight as are allowed.
+    fn is_group_limit_reached(&self) -> bool {
         let mut groups = Vec::new();
-        for part in &self.parts {
-            let Some(batch) = part.under_way.as_ref().filter(|batch| batch.grouped) else {
+        for partition in &self.partitions {
+            let Some(batch) = partition.in_flight.as_ref().filter(|batch| batch.grouped) else {
                 continue;
             };
             if !groups.contains(&batch.batch) {
                 groups.push(batch.batch);
             }
         }
-        groups.len() >= GROUPS_MAX
+        groups.len() >= GROUPS_IN_FLIGHT_MAX
     }
 }
 
 impl Pool {
-    /// Asks for a submission to be made durable, with its first start if that comes soon.
+    /// Requests that a submission is made durable, together with its first start if that
+    /// is chosen soon.
     pub(crate) fn note_submission(&mut self, job: JobId) {
-        let due_ms = self.now_ms + START_WAIT_MS;
-        self.commits.note_by(job, After::Accept(job), due_ms);
+        let due_ms = self.now_ms + FIRST_START_WAIT_MS;
+        self.commits.mark_dirty_by(job, AfterCommit::Accept(job), due_ms);
     }
 
-    /// Whether a submission would wait behind a part that does not answer.
-    pub(crate) fn is_part_stuck(&self, job: JobId) -> bool {
+    /// Whether a submission would wait behind a stuck partition.
+    pub(crate) fn is_partition_stuck(&self, job: JobId) -> bool {
         self.commits.is_stuck(job.partition(), self.now_ms)
     }
 
-    /// Refuses submissions that would wait for a part that does not answer: their callers
-    /// still have time to come back.
+    /// Refuses submissions that wait behind a stuck partition, while their callers still
+    /// have time to retry.
     pub(crate) fn refuse_behind_stuck(&mut self) {
         for id in self.commits.waiting_behind_stuck(self.now_ms) {
             if self.withdraw(id) {
@@ -272,51 +282,51 @@
     pub(crate) fn commit(&mut self) {
         let now_ms = self.now_ms;
         let slow = self.commits.is_slow(now_ms);
-        if !slow && self.commits.is_grouping() {
+        if !slow && self.commits.is_group_limit_reached() {
             return;
         }
         let mut group = Group::default();
-        for part in 0..PARTITIONS {
+        for partition in 0..PARTITIONS {
             if slow {
                 group = Group::default();
             }
-            if group.writes.len() >= PARTS_MAX {
+            if group.writes.len() >= PARTITIONS_PER_GROUP_MAX {
                 break;
             }
-            self.fill(part, &mut group);
+            self.fill_group(partition, &mut group);
             if slow {
-                self.send(group, false);
+                self.send_group(group, false);
                 group = Group::default();
             }
         }
-        self.send(group, true);
+        self.send_group(group, true);
     }
 
-    /// Adds what is due of a part.
-    fn fill(&mut self, partition: usize, group: &mut Group) {
+    /// Adds a partition's due rows and removals to a group, as far as there is space.
+    fn fill_group(&mut self, partition: usize, group: &mut Group) {
         let now_ms = self.now_ms;
-        let waiting = &mut self.commits.parts[partition];
-        if waiting.under_way.is_some() || (waiting.order.is_empty() && waiting.removes.is_empty()) {
+        let pending = &mut self.commits.partitions[partition];
+        if pending.in_flight.is_some() || (pending.order.is_empty() && pending.removes.is_empty()) {
             return;
         }
         let mut write = PartitionWrite { partition, puts: Vec::new(), removes: Vec::new() };
-        let mut under_way = UnderWay {
+        let mut in_flight = InFlight {
             batch: 0,
             since_ms: now_ms,
             grouped: false,
             jobs: Vec::new(),
-            afters: Vec::new(),
+            actions: Vec::new(),
         };
-        let mut later = VecDeque::new();
-        while let Some(id) = waiting.order.pop_front() {
-            let full = group.entries + ENTRIES_EACH_MAX > ENTRIES_MAX
+        let mut deferred = VecDeque::new();
+        while let Some(id) = pending.order.pop_front() {
+            let full = group.entries + ENTRIES_PER_JOB_MAX > ENTRIES_MAX
                 || group.bytes > self.limits.batch_bytes_max;
-            let due = waiting.dirty.get(&id).is_some_and(|dirty| dirty.due_ms <= now_ms);
+            let due = pending.dirty.get(&id).is_some_and(|dirty| dirty.due_ms <= now_ms);
             if full || !due {
-                later.push_back(id);
+                deferred.push_back(id);
                 continue;
             }
-            let Some(dirty) = waiting.dirty.remove(&id) else { continue };
+            let Some(dirty) = pending.dirty.remove(&id) else { continue };
             let Some(job) = self.jobs.get(&id) else { continue };
             let progress = job.progress(&self.workers);
             let has_progress = !progress.tasks.is_empty() || progress.outcome.is_some();
@@ -328,46 +338,46 @@
             }
             let progress = has_progress.then_some(progress);
             write.puts.push(Put { job: id, submission, progress });
-            under_way.jobs.push(id);
-            under_way.afters.extend(dirty.afters);
+            in_flight.jobs.push(id);
+            in_flight.actions.extend(dirty.actions);
         }
-        waiting.order = later;
-        let room = ENTRIES_MAX.saturating_sub(group.entries) / REMOVE_ENTRIES;
-        let kept = waiting.removes.len().saturating_sub(room);
-        write.removes = waiting.removes.split_off(kept);
+        pending.order = deferred;
+        let removes_max = ENTRIES_MAX.saturating_sub(group.entries) / ENTRIES_PER_REMOVAL;
+        let left_over = pending.removes.len().saturating_sub(removes_max);
+        write.removes = pending.removes.split_off(left_over);
         if write.puts.is_empty() && write.removes.is_empty() {
             return;
         }
-        group.entries += 1 + write.removes.len() * REMOVE_ENTRIES;
+        group.entries += 1 + write.removes.len() * ENTRIES_PER_REMOVAL;
         group.writes.push(write);
-        waiting.under_way = Some(under_way);
+        pending.in_flight = Some(in_flight);
     }
 
-    fn send(&mut self, group: Group, grouped: bool) {
+    fn send_group(&mut self, group: Group, grouped: bool) {
         if group.writes.is_empty() {
             return;
         }
-        self.commits.next += 1;
-        let batch = self.commits.next;
+        self.commits.last_batch += 1;
+        let batch = self.commits.last_batch;
         for write in &group.writes {
-            if let Some(under_way) = &mut self.commits.parts[write.partition].under_way {
-                under_way.batch = batch;
-                under_way.grouped = grouped;
+            if let Some(in_flight) = &mut self.commits.partitions[write.partition].in_flight {
+                in_flight.batch = batch;
+                in_flight.grouped = grouped;
             }
         }
         self.effects.push(Effect::Commit { batch, writes: group.writes });
     }
 
-    pub(crate) fn on_committed(&mut self, batch: u64, part: usize) {
-        let Some(part) = self.commits.parts.get_mut(part) else { return };
-        let Some(written) = part.under_way.take_if(|one| one.batch == batch) else { return };
-        let took_ms = self.now_ms.saturating_sub(written.since_ms).min(TOOK_MAX_MS);
-        self.commits.took_ms = (self.commits.took_ms * 3 + took_ms) / 4;
-        for after in written.afters {
-            match after {
-                After::Accept(job) => self.on_accept_durable(job),
-                After::Start { task, run } => self.send_start(task, run),
-                After::Forget { worker, incarnation, number } => {
+    pub(crate) fn on_committed(&mut self, batch: u64, partition: usize) {
+        let Some(partition) = self.commits.partitions.get_mut(partition) else { return };
+        let Some(written) = partition.in_flight.take_if(|sent| sent.batch == batch) else { return };
+        let took_ms = self.now_ms.saturating_sub(written.since_ms).min(BATCH_SAMPLE_MAX_MS);
+        self.commits.mean_batch_ms = (self.commits.mean_batch_ms * 3 + took_ms) / 4;
+        for action in written.actions {
+            match action {
+                AfterCommit::Accept(job) => self.on_accept_durable(job),
+                AfterCommit::Start { task, run } => self.send_start(task, run),
+                AfterCommit::Forget { worker, incarnation, number } => {
                     let Some(worker) = self.workers.get_mut(&worker) else { continue };
                     if worker.info.incarnation != incarnation {
                         continue;
@@ -375,28 +385,28 @@
                     worker.not_durable.remove(&number);
                     worker.next_hold_ms = self.now_ms;
                 }
-                After::Settle(job) => self.on_settled(job),
+                AfterCommit::ReportOutcome(job) => self.on_outcome_durable(job),
             }
         }
     }
 
-    fn on_settled(&mut self, id: JobId) {
+    fn on_outcome_durable(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.settled = job.outcome.is_some();
+        job.outcome_durable = job.outcome.is_some();
         let Some(outcome) = job.outcome else { return };
-        job.slim();
+        job.release_memory();
         let took_ms = self.unix_ms.saturating_sub(job.spec.accepted_unix_ms);
         let allowed_ms = job.spec.allowed_ms();
-        tracing::info!(job = %id, queue = job.spec.queue.name, %outcome, took_ms, allowed_ms, "job settled");
+        tracing::info!(job = %id, queue = job.spec.queue.name, %outcome, took_ms, allowed_ms, "job finished");
     }
 }
 
-/// Entries that one job may take.
-const ENTRIES_EACH_MAX: usize = 4;
-/// Entries that the removal of one job takes.
-const REMOVE_ENTRIES: usize = 3;
+/// Most entries that the rows of one job need in a transaction.
+const ENTRIES_PER_JOB_MAX: usize = 4;
+/// Entries that the removal of one job needs in a transaction.
+const ENTRIES_PER_REMOVAL: usize = 3;
 
-/// Parts that go in one transaction.
+/// Writes that are sent as one transaction.
 #[derive(Debug, Default)]
 struct Group {
     writes: Vec<PartitionWrite>,
--- a/crates/pool/src/dump.rs
+++ b/crates/pool/src/dump.rs
@@ -1,4 +1,4 @@
-//! The pool's state for people.
+//! Snapshots of the pool's state for operators and metrics.
 
 use std::collections::BTreeMap;
 
@@ -11,76 +11,77 @@
 use crate::id::JobId;
 use crate::record::JobState;
 
-/// What the scheduler believes.
+/// A snapshot of the scheduler's state.
 #[derive(Clone, Debug, Serialize)]
 pub struct PoolDump {
-    /// The election that made it scheduler.
+    /// The epoch of the election that made this daemon the leader.
     pub epoch: u64,
-    /// Jobs by state.
+    /// The number of jobs in each state.
     pub jobs: BTreeMap<String, usize>,
-    /// Steps with tasks to place.
+    /// The number of steps in the queue, which have tasks to place.
     pub queued_steps: usize,
-    /// Tasks that nobody will look at again; there should be none.
+    /// Tasks that wait for something that will not happen, each with the reason. Empty
+    /// unless the scheduler has a fault.
     pub tasks_without_wakeup: Vec<String>,
-    /// The customers.
+    /// The usage and limits of each customer.
     pub customers: Vec<CustomerDump>,
-    /// The workers.
+    /// The state of each known worker.
     pub workers: Vec<WorkerDump>,
 }
 
-/// What a customer has and may have.
+/// The usage and limits of a customer.
 #[derive(Clone, Debug, Serialize)]
 pub struct CustomerDump {
-    /// Its name.
+    /// The name that the manifest or a job gives the customer.
     pub customer: CustomerName,
-    /// Its weight.
+    /// The customer's share of a full pool.
     pub weight: f64,
-    /// What its tasks take on all workers.
+    /// The resources that its tasks take on all workers.
     pub used: Resources,
-    /// What they may take; 0 of a resource is no limit.
+    /// The resources that its tasks may take; a resource that is 0 is not limited.
     pub cap: Resources,
 }
 
-/// Sums over what the scheduler believes.
+/// Totals over the scheduler's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Jobs of which nothing has started.
+    /// Jobs of which no task was started.
     pub queued_jobs: usize,
-    /// Jobs that run.
+    /// Jobs of which a task was started and that have not ended.
     pub running_jobs: usize,
-    /// Steps with tasks to place.
+    /// Steps in the queue, which have tasks to place.
     pub queued_steps: usize,
-    /// Workers that take new tasks.
+    /// Workers that accept new tasks.
     pub open_workers: usize,
     /// Workers that did not answer the last call.
     pub silent_workers: usize,
-    /// Processors that are free.
+    /// CPU of all known workers that is not allocated, in millicores.
     pub free_cpu_millis: u64,
-    /// Processors that are taken.
+    /// CPU of all known workers that is allocated, in millicores.
     pub used_cpu_millis: u64,
 }
 
-/// What the scheduler believes of a worker.
+/// The state of a worker as the scheduler knows it.
 #[derive(Clone, Debug, Serialize)]
 pub struct WorkerDump {
-    /// Its name.
+    /// The worker's name.
     pub worker: String,
-    /// Whether it answered a hold under the present token.
+    /// Whether it answered a hold under the current fencing token.
     pub held: bool,
-    /// Whether it takes new tasks.
+    /// Whether it accepts new tasks.
     pub open: bool,
-    /// Tasks with room there.
+    /// The number of tasks that have room allocated on it.
     pub tasks: usize,
-    /// Room that is taken.
+    /// The resources that are allocated.
     pub used: Resources,
-    /// All its room.
+    /// The resources in total.
     pub capacity: Resources,
-    /// Calls without answer in a row.
+    /// The number of calls in a row that were not answered.
     pub silent_calls: u32,
 }
 
 impl Pool {
-    /// What the scheduler believes now.
+    /// A snapshot of the current state.
     pub fn dump(&self) -> PoolDump {
         let mut jobs: BTreeMap<String, usize> = BTreeMap::new();
         for job in self.jobs.values() {
@@ -108,19 +109,20 @@
         }
     }
 
-    /// What customers have and may have.
+    /// The current usage and limits of each customer.
     pub fn customers(&self) -> Vec<CustomerDump> {
-        let both = self.customers.limits().zip(self.customers_use());
+        let limits_and_usage = self.customers.limits().zip(self.customers_use());
         let dump = |(limits, used): (&CustomerLimits, Resources)| CustomerDump {
             customer: limits.name.clone(),
             weight: limits.weight,
             used,
             cap: limits.cap,
         };
-        both.map(dump).collect()
+        limits_and_usage.map(dump).collect()
     }
 
-    /// Why a job is where it is, a line for each of its steps.
+    /// Why a job is in its current state, in lines for an operator: the job, each of its
+    /// steps and each placed task. Empty if the job is not known.
     pub fn explain(&self, job: JobId) -> Vec<String> {
         let Some(job) = self.jobs.get(&job) else { return Vec::new() };
         let mut lines = vec![format!("state: {}", job.state())];
@@ -137,13 +139,13 @@
             ));
         }
         for (number, unit) in job.units.iter().enumerate() {
-            let waiting = unit.waiting().count();
+            let waiting = unit.waiting_tasks().count();
             let ready = job.is_ready(number);
             let asked = unit.advice.asked.len();
             let granted = unit.advice.granted.len();
             lines.push(format!(
                 "step {}: {} of {} tasks to do, {waiting} wait, ready {ready}, advisor granted {granted} of {asked} workers",
-                unit.id, unit.left, unit.tasks.len(),
+                unit.id, unit.remaining_tasks, unit.tasks.len(),
             ));
             if unit.awaits_cap {
                 lines.push(format!("step {}: waits for the customer's cap", unit.id));
@@ -159,7 +161,7 @@
         lines
     }
 
-    /// Sums for the metrics.
+    /// The current totals, for metrics.
     pub fn counts(&self) -> Counts {
         let mut counts = Counts { queued_steps: self.queue.len(), ..Counts::default() };
         for job in self.jobs.values() {
--- a/crates/pool/src/holds.rs
+++ b/crates/pool/src/holds.rs
@@ -9,7 +9,7 @@
 use stoatwell_model::WorkerId;
 
 use crate::Pool;
-use crate::commit::After;
+use crate::commit::AfterCommit;
 use crate::event::CallError;
 use crate::event::Effect;
 use crate::event::HoldCall;
@@ -72,7 +72,7 @@
         }
         worker.listed = true;
         worker.info = update;
-        self.place_due = true;
+        self.cycle_due = true;
     }
 
     /// When whatever an earlier scheduler allowed has lapsed for sure.
@@ -84,7 +84,7 @@
     /// Takes note that the duty was renewed at a moment, so that leases may be
     /// extended for [`EXTEND_MS`] more.
     pub fn note_renewal(&mut self, at_ms: u64) {
-        self.renewed_ms = self.renewed_ms.max(at_ms);
+        self.leader_lease_renewed_ms = self.leader_lease_renewed_ms.max(at_ms);
     }
 
     pub(crate) fn on_unlisted(&mut self, name: &WorkerId) {
@@ -107,10 +107,10 @@
             let task = self.jobs.get_mut(&id.step.job).and_then(|job| job.task_mut(id));
             let Some(task) = task else { continue };
             match task.phase {
-                Phase::Sent | Phase::Running { .. } | Phase::Adopted if !task.seen => {
+                Phase::Sent | Phase::Running { .. } | Phase::Adopted if !task.listed_by_worker => {
                     task.phase = Phase::Adopted;
                 }
-                Phase::Stopping { .. } if !task.seen => {
+                Phase::Stopping { .. } if !task.listed_by_worker => {
                     task.phase = Phase::Stopping { answered_turn: None, sent_ms: 0 };
                 }
                 _ => {
@@ -162,7 +162,7 @@
     /// A run is known to be nowhere.
     pub(crate) fn lose_run(&mut self, id: TaskId) {
         self.release(id);
-        self.break_gang(id);
+        self.stop_other_members(id);
         self.requeue(id);
     }
 
@@ -212,7 +212,7 @@
         self.compare(name, turn, &reply);
         self.judge_speed(name);
         self.pace_fillers(name, &reply);
-        self.place_due = true;
+        self.cycle_due = true;
     }
 
     fn on_hold_failed(&mut self, name: &WorkerId, error: CallError) {
@@ -226,7 +226,7 @@
             CallError::OtherLife => self.lose_worker(name, "another one answers at its address"),
             CallError::Superseded => {
                 tracing::warn!(worker = %name, "worker follows a higher token");
-                self.deposed = true;
+                self.superseded = true;
             }
             CallError::NoAnswer | CallError::NotSent | CallError::Unwell => {}
         }
@@ -244,10 +244,10 @@
             if self.jobs.contains_key(&job) {
                 worker.not_durable.insert(ended.number);
                 let after =
-                    After::Forget { worker: name.clone(), incarnation, number: ended.number };
-                self.commits.note(job, after);
+                    AfterCommit::Forget { worker: name.clone(), incarnation, number: ended.number };
+                self.commits.mark_dirty(job, after);
             }
-            self.on_end(ended.task, ended.run, name, ended.end, &ended.checkpoint);
+            self.on_run_ended(ended.task, ended.run, name, ended.end, &ended.checkpoint);
         }
     }
 
@@ -269,7 +269,7 @@
             };
             if let Some(active) = listed.remove(&(id, task.run)) {
                 note_active(task, active, now_ms, this_turn);
-                self.note_begun(id);
+                self.mark_begun(id);
                 continue;
             }
             if is_gone(task, turn) {
@@ -295,7 +295,7 @@
                 continue;
             };
             if let Some(unit) = job.unit_of(id.step) {
-                rooms.push(job.taken(unit));
+                rooms.push(job.allocation(unit));
             }
             self.stop_stranger(name, id, run);
         }
@@ -315,7 +315,7 @@
         let now_ms = self.now_ms;
         let lease_ms = self.limits.lease_ms;
         let turn = self.turn;
-        let renewed = now_ms < self.renewed_ms + EXTEND_MS;
+        let renewed = now_ms < self.leader_lease_renewed_ms + EXTEND_MS;
         let many = self.workers.len() > WORKERS_MANY;
         let wait_ms = if many { HOLD_WAIT_MS * 2 } else { HOLD_WAIT_MS };
         let mut due = Vec::new();
@@ -392,13 +392,13 @@
 fn note_active(task: &mut Task, active: &crate::event::ActiveRun, now_ms: u64, turn: u64) {
     if matches!(task.phase, Phase::Sent | Phase::Adopted) {
         task.phase = Phase::Running { since_turn: turn };
-        task.moved_ms = now_ms;
+        task.last_progress_ms = now_ms;
         task.began_ms = now_ms;
     }
-    task.seen = true;
+    task.listed_by_worker = true;
     if active.percent != task.percent {
         task.percent = active.percent;
-        task.moved_ms = now_ms;
+        task.last_progress_ms = now_ms;
     }
     if !active.checkpoint.is_empty() {
         task.checkpoint.clone_from(&active.checkpoint);
--- a/crates/pool/src/job.rs
+++ b/crates/pool/src/job.rs
@@ -1,4 +1,4 @@
-//! A job in memory: its steps' tasks and where each of them stands.
+//! The in-memory state of a job, its steps and their tasks.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,37 +21,39 @@
 use crate::worker::Taken;
 use crate::worker::Worker;
 
-/// Where a task stands.
+/// The phase of a task's newest run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Not anywhere.
+    /// Not placed on any worker.
     Waiting,
-    /// Has room on a worker; waits for tickets.
+    /// Has room on a worker and waits for tickets.
     Reserved,
-    /// Has room on a worker; waits for its row to be durable.
+    /// Has room on a worker and waits for its row to be durable.
     Recorded,
-    /// A start was sent and not answered yet.
+    /// The start was sent and is not answered yet.
     Sent,
     /// Known to run.
     Running {
-        /// A hold made in a later turn that does not show it proves that it is gone.
+        /// The turn in which this became known. A hold that was made in a later turn and
+        /// does not list the run proves that it is gone.
         since_turn: u64,
     },
-    /// Shall not run; whether it does is told by a hold made in a later turn than
-    /// the stop's answer.
+    /// Must not run. A hold that was made in a later turn than the one in which the stop was
+    /// answered tells whether it still does.
     Stopping {
-        /// The turn in which the stop was answered.
+        /// The turn in which the stop was answered; `None` while it is not.
         answered_turn: Option<u64>,
         /// When the stop was last sent.
         sent_ms: u64,
     },
-    /// Recorded by an earlier scheduler; the first hold tells.
+    /// Recorded by an earlier leader, or sent to an earlier incarnation of its worker; the
+    /// first hold tells whether it runs.
     Adopted,
-    /// Done.
+    /// Completed; no further run is needed.
     Done,
 }
 
-/// One task.
+/// A task and its newest run.
 #[derive(Clone, Debug)]
 pub(crate) struct Task {
     pub phase: Phase,
@@ -61,24 +63,25 @@
     pub worker: Option<WorkerId>,
     pub checkpoint: String,
     pub percent: u32,
-    /// When [`Self::percent`] last changed.
-    pub moved_ms: u64,
-    /// When the newest run was recorded.
+    /// When [`Self::percent`] last changed or the newest run was recorded, sent or started.
+    pub last_progress_ms: u64,
+    /// When the newest run was recorded; 0 if this leader has recorded none.
     pub placed_ms: u64,
-    /// When the newest run was first known to be at work; 0 before.
+    /// When the newest run was first known to run; 0 before.
     pub began_ms: u64,
-    /// Whether a hold has listed the newest run, so that the life it is in is known.
-    pub seen: bool,
-    /// The pace that its worker was last told, in hundredths; none is not known to be
-    /// another than full.
+    /// Whether a hold has listed the newest run, so that it is known which incarnation of the
+    /// worker has it.
+    pub listed_by_worker: bool,
+    /// The pace that the worker was last told, in percent; `None` if the run is at full pace
+    /// as far as is known.
     pub pace_percent: Option<u32>,
-    /// Whether another run was done; what is left of the newest is stopped, and its
-    /// room stays taken until it is gone.
+    /// Whether another run of the task completed. The newest run is stopped then, and its
+    /// room stays allocated until it is gone.
     pub copy_done: bool,
 }
 
 impl Task {
-    /// Whether it was told to work at less than its full pace.
+    /// Whether the worker was told to run it at less than full pace.
     pub fn is_slowed(&self) -> bool {
         self.pace_percent.is_some_and(|percent| percent < FULL_PACE)
     }
@@ -89,7 +92,7 @@
     }
 }
 
-/// A ticket of the advisor.
+/// The advisor's permission to run a step on one incarnation of a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Ticket {
     pub text: String,
@@ -98,73 +101,75 @@
 }
 
 impl Ticket {
-    /// Whether a start that is sent to this life of the worker then could show it.
+    /// Whether a start that is sent to this incarnation of the worker at `sent_ms` can use
+    /// the ticket.
     pub fn is_fresh(&self, incarnation: u64, sent_ms: u64) -> bool {
         self.incarnation == incarnation && self.expires_ms > sent_ms
     }
 }
 
-/// What the advisor has said of a step.
+/// The advisor's answers about a step.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Advice {
-    /// Workers that may run the step, with the newest ticket.
+    /// Workers that may run the step, with the newest ticket of each.
     pub granted: BTreeMap<Slot, Ticket>,
-    /// Workers asked about, granted or not.
+    /// Workers that the advisor has answered about, granted or not.
     pub asked: BTreeSet<Slot>,
-    /// Questions that are not answered yet.
-    pub questions: u32,
-    /// Not before this is the advisor asked again.
+    /// Queries that are not answered yet.
+    pub queries: u32,
+    /// The advisor is not queried again before this.
     pub pause_until_ms: u64,
-    /// Not before this is it worked out whom else to ask about.
+    /// The selection of further workers to ask about is not repeated before this.
     pub retry_at_ms: u64,
 }
 
-/// One step of one occurrence.
+/// One step of one occurrence of a job, with its own position in the queue.
 #[derive(Clone, Debug)]
 pub(crate) struct Unit {
     pub id: StepId,
     pub tasks: Vec<Task>,
     pub advice: Advice,
-    /// Tasks that are not done.
-    pub left: u32,
+    /// The number of tasks that are not done.
+    pub remaining_tasks: u32,
     /// Whether it is in the queue.
     pub queued: bool,
-    /// Not before this is a place looked for again.
+    /// Placement is not tried again before this.
     pub retry_at_ms: u64,
     /// Whether it is a gang that waits for its customer's cap.
     pub awaits_cap: bool,
-    /// Workers kept for it at the last look, for a gang.
+    /// For a gang, the workers that were last reserved for it.
     pub reserved: Vec<Slot>,
-    /// When that was worked out.
+    /// When these workers were chosen.
     pub reserved_ms: u64,
-    /// When the last place on them comes free.
+    /// When the last of the places on them is expected to come free.
     pub reserved_until_ms: u64,
 }
 
-/// A job.
+/// A job and the progress of its units.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub id: JobId,
     pub spec: Arc<JobSpec>,
     pub customer: Option<CustomerId>,
-    /// Whether its customer had sent as much as its weight allows when it came.
+    /// Whether its customer had used up what its weight allows when the job arrived.
     pub beyond_weight: bool,
     pub payload: Arc<str>,
     pub units: Vec<Unit>,
-    /// Whether what was submitted is durable.
+    /// Whether the submission is durable.
     pub durable: bool,
-    /// How it ended, maybe not durable yet.
+    /// How the job ended; not necessarily durable yet.
     pub outcome: Option<Outcome>,
     /// Whether the outcome is durable.
-    pub settled: bool,
+    pub outcome_durable: bool,
     pub finished_unix_ms: u64,
+    /// Whether a start of one of its tasks may have been sent.
     pub started: bool,
-    /// Whether a worker has said that it began one of its tasks.
+    /// Whether a worker has reported that it began one of its tasks.
     pub begun: bool,
 }
 
 impl Job {
-    /// A job with nothing done yet.
+    /// A job of which no task was placed yet.
     pub fn new(id: JobId, spec: Arc<JobSpec>, customer: Option<CustomerId>) -> Self {
         let mut units = Vec::new();
         for occurrence in 0..spec.occurrences() {
@@ -182,23 +187,24 @@
             units,
             durable: true,
             outcome: None,
-            settled: false,
+            outcome_durable: false,
             finished_unix_ms: 0,
             started: false,
             begun: false,
         }
     }
 
-    /// Puts back what an earlier scheduler recorded.
+    /// Restores the progress that an earlier leader recorded.
     pub fn restore(&mut self, progress: &Progress) {
         self.outcome = progress.outcome;
-        self.settled = progress.outcome.is_some();
+        self.outcome_durable = progress.outcome.is_some();
         self.finished_unix_ms = progress.finished_unix_ms;
         self.started = !progress.tasks.is_empty();
         for row in &progress.tasks {
             let Some(unit) = self.units.get_mut(row.unit as usize) else { continue };
             let Some(task) = unit.tasks.get_mut(row.index as usize) else { continue };
-            // A row is written before its start is sent, which may never have been.
+            // A row is written before its start is sent, so a run alone does not show that
+            // a worker began the task.
             self.begun |= row.done || row.failures > 0 || !row.checkpoint.is_empty();
             task.run = row.run;
             task.failures = row.failures;
@@ -206,7 +212,7 @@
             task.checkpoint.clone_from(&row.checkpoint);
             if row.done {
                 task.phase = Phase::Done;
-                unit.left -= 1;
+                unit.remaining_tasks -= 1;
                 continue;
             }
             task.worker.clone_from(&row.worker);
@@ -216,7 +222,7 @@
         }
     }
 
-    /// The row that makes the present state durable.
+    /// The row that makes the current progress durable.
     pub fn progress(&self, workers: &BTreeMap<WorkerId, Worker>) -> Progress {
         let mut tasks = Vec::new();
         for (number, unit) in self.units.iter().enumerate() {
@@ -225,7 +231,7 @@
                     continue;
                 }
                 let worker = task.worker.clone().filter(|_| task.phase != Phase::Reserved);
-                let at = worker.as_ref().and_then(|name| workers.get(name));
+                let placed_on = worker.as_ref().and_then(|name| workers.get(name));
                 tasks.push(TaskProgress {
                     unit: number as u32,
                     index: index as u32,
@@ -233,8 +239,10 @@
                     failures: task.failures,
                     failed_run: task.failed_run,
                     done: task.is_done(),
-                    address: at.map(|at| at.info.address.clone()).unwrap_or_default(),
-                    incarnation: at.map_or(0, |at| at.info.incarnation),
+                    address: placed_on
+                        .map(|worker| worker.info.address.clone())
+                        .unwrap_or_default(),
+                    incarnation: placed_on.map_or(0, |worker| worker.info.incarnation),
                     worker,
                     checkpoint: task.checkpoint.clone(),
                 });
@@ -243,9 +251,9 @@
         Progress { outcome: self.outcome, finished_unix_ms: self.finished_unix_ms, tasks }
     }
 
-    /// Drops what a job that is over needs no more: it stays known for minutes,
-    /// and payloads and tickets would be most of the scheduler's memory.
-    pub fn slim(&mut self) {
+    /// Frees what a finished job no longer needs. The job stays known for minutes, and
+    /// payloads and tickets would take most of the scheduler's memory.
+    pub fn release_memory(&mut self) {
         self.payload = Arc::from("");
         let spec = JobSpec { payload: String::new(), ..(*self.spec).clone() };
         self.spec = Arc::new(spec);
@@ -254,52 +262,57 @@
         }
     }
 
-    /// What callers are told.
+    /// The state as callers see it.
     pub fn state(&self) -> JobState {
         match self.outcome {
-            Some(outcome) if self.settled || outcome == Outcome::Cancelled => outcome.into(),
+            Some(outcome) if self.outcome_durable || outcome == Outcome::Cancelled => {
+                outcome.into()
+            }
             _ if self.started => JobState::Running,
             _ => JobState::Queued,
         }
     }
 
-    /// The step that a unit belongs to.
+    /// The specification of a unit's step.
     pub fn step(&self, unit: usize) -> &StepSpec {
         &self.spec.steps[self.units[unit].id.step as usize]
     }
 
-    /// What a task of a unit takes.
-    pub fn taken(&self, unit: usize) -> Taken {
+    /// The resources that a task of a unit takes from its worker and its customer's cap.
+    pub fn allocation(&self, unit: usize) -> Taken {
         let step = self.step(unit);
         Taken { room: step.room(), demand: step.demand, customer: self.customer }
     }
 
-    /// The place of a step among the units.
+    /// The index of a step's unit; `None` if the job has no such step.
     pub fn unit_of(&self, id: StepId) -> Option<usize> {
         let unit = id.occurrence as usize * self.spec.steps.len() + id.step as usize;
-        let known = (id.step as usize) < self.spec.steps.len() && unit < self.units.len();
-        known.then_some(unit)
+        let exists = (id.step as usize) < self.spec.steps.len() && unit < self.units.len();
+        exists.then_some(unit)
     }
 
-    /// The task of this name.
+    /// The task with this id; `None` if the job has no such task.
     pub fn task_mut(&mut self, id: TaskId) -> Option<&mut Task> {
         let unit = self.unit_of(id.step)?;
         self.units[unit].tasks.get_mut(id.index as usize)
     }
 
-    /// Whether all steps that the unit waits for are done.
+    /// Whether all steps that the unit depends on are done.
     pub fn is_ready(&self, unit: usize) -> bool {
-        let first = self.units[unit].id.occurrence as usize * self.spec.steps.len();
-        self.step(unit).after.iter().all(|earlier| self.units[first + *earlier as usize].left == 0)
+        let first_unit = self.units[unit].id.occurrence as usize * self.spec.steps.len();
+        self.step(unit)
+            .after
+            .iter()
+            .all(|earlier| self.units[first_unit + *earlier as usize].remaining_tasks == 0)
     }
 
-    /// Whether nothing is left to be done.
+    /// Whether all tasks are done.
     pub fn is_done(&self) -> bool {
-        self.units.iter().all(|unit| unit.left == 0)
+        self.units.iter().all(|unit| unit.remaining_tasks == 0)
     }
 
     /// Whether any task may still be on a worker.
-    pub fn is_anywhere(&self) -> bool {
+    pub fn has_placed_tasks(&self) -> bool {
         self.units.iter().flat_map(|unit| &unit.tasks).any(|task| task.worker.is_some())
     }
 }
@@ -310,7 +323,7 @@
             id,
             tasks: vec![Task::default(); tasks as usize],
             advice: Advice::default(),
-            left: tasks,
+            remaining_tasks: tasks,
             queued: false,
             retry_at_ms: 0,
             awaits_cap: false,
@@ -320,10 +333,10 @@
         }
     }
 
-    /// Places of the tasks that are not anywhere.
-    pub fn waiting(&self) -> impl Iterator<Item = u32> {
-        let waiting = |(_, task): &(usize, &Task)| task.phase == Phase::Waiting;
-        self.tasks.iter().enumerate().filter(waiting).map(|(index, _)| index as u32)
+    /// The indexes of the tasks that are not placed on any worker.
+    pub fn waiting_tasks(&self) -> impl Iterator<Item = u32> {
+        let is_waiting = |(_, task): &(usize, &Task)| task.phase == Phase::Waiting;
+        self.tasks.iter().enumerate().filter(is_waiting).map(|(index, _)| index as u32)
     }
 }
 
@@ -337,10 +350,10 @@
             worker: None,
             checkpoint: String::new(),
             percent: 0,
-            moved_ms: 0,
+            last_progress_ms: 0,
             placed_ms: 0,
             began_ms: 0,
-            seen: false,
+            listed_by_worker: false,
             pace_percent: None,
             copy_done: false,
         }
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,14 +1,14 @@
-//! Decides where the tasks of jobs run in one pool of workers.
+//! Schedules the tasks of jobs on one pool of workers.
 //!
-//! [`Pool`] is the scheduler's whole state. [`Pool::handle`] handles one
-//! event, [`Pool::poll_effects`] tells what has to be done. It waits for nothing and
-//! reads no clock, so tests replay any schedule of failures in virtual time.
+//! [`Pool`] is the complete state of the scheduler. [`Pool::handle`] processes one
+//! event, [`Pool::poll_effects`] returns the actions to be carried out. The pool does no
+//! I/O and reads no clock, so tests can replay any sequence of failures in virtual time.
 //!
-//! Three facts keep a task from running twice. A start is durable before it is
-//! sent. A worker that was held under a token does nothing for a lower one. A
-//! run whose start brought no answer is stopped, and not started elsewhere
-//! before the stop was answered and a later hold shows nothing, or before the
-//! worker's lease has lapsed for sure.
+//! Three rules keep a task from running twice. A start is durable before it is sent. A
+//! worker that has answered a hold under a fencing token carries out no call with a lower
+//! one. A run whose start was not answered is stopped, and is started elsewhere only
+//! after the stop was answered and a later hold does not list the run, or after the
+//! worker's lease has certainly expired.
 
 mod advise;
 mod choose;
@@ -93,32 +93,33 @@
 pub use crate::spec::StepSpec;
 pub use crate::submit::Accepted;
 
-/// Bits of a token below the epoch; they count a worker's lives.
+/// Number of low bits of a fencing token that count a worker's incarnations; the epoch
+/// is above them.
 const INCARNATION_BITS: u32 = 12;
 
-/// Figures that the installation sets.
+/// Limits that the installation configures.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// How long a worker keeps things running without hearing from us.
+    /// How long a worker keeps its runs alive after the last renewal of its lease.
     pub lease_ms: u64,
-    /// The longest lease that a worker grants to anybody.
+    /// The longest lease that a worker grants to any leader.
     pub lease_max_ms: u64,
-    /// How long a finished job is remembered.
+    /// How long a finished job is kept before it is removed from memory and the store.
     pub job_retention_ms: u64,
-    /// How many workers one question to the advisor may name.
+    /// The most workers that one query to the advisor may name.
     pub advice_workers_max: usize,
-    /// About how many bytes of rows one batch may hold; the renewal of the leader's
-    /// lease waits behind it.
+    /// The approximate size limit of a batch of rows, in bytes. The renewal of the
+    /// leader lease waits behind the batch.
     pub batch_bytes_max: usize,
 }
 
-/// How a scheduler came to be one.
+/// The outcome of the leader election that this scheduler won.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Election {
-    /// Rises with every change of scheduler; the high part of every token.
+    /// Increases with every change of leader; the high bits of every fencing token.
     pub epoch: u64,
-    /// For how long from now on an earlier scheduler, which may not know of this
-    /// one, may go on extending leases.
+    /// How long from now an earlier leader, which may not know of its successor yet,
+    /// may continue to extend the workers' leases.
     pub earlier_extends_ms: u64,
 }
 
@@ -127,66 +128,71 @@
 pub struct Pool {
     limits: Limits,
     election: Election,
-    /// When the duty was last renewed.
-    renewed_ms: u64,
+    /// When the leader lease was last renewed.
+    leader_lease_renewed_ms: u64,
     now_ms: u64,
     unix_ms: u64,
     started_ms: u64,
-    /// Counts the calls of [`Pool::poll_effects`]: what is asked for in a later turn than
-    /// an answer was taken in, is asked after it.
+    /// Counts the calls of [`Pool::poll_effects`]. A call that is made in a later turn
+    /// than the one in which an answer was handled was made after that answer.
     turn: u64,
     jobs: BTreeMap<JobId, Job>,
     /// Cancellations of jobs that are not known yet.
     early_cancels: BTreeSet<JobId>,
     customers: Customers,
     workers: BTreeMap<WorkerId, Worker>,
-    /// Names of workers by their slots.
-    names: Vec<WorkerId>,
-    /// Units with tasks to place: priority, whether beyond a weight, due time, arrival.
+    /// Names of workers, indexed by slot.
+    worker_names: Vec<WorkerId>,
+    /// Units with tasks to place, by priority, weight, deadline and arrival.
     queue: BTreeMap<QueueKey, StepId>,
-    /// Units of occurrences that are not due yet.
-    timed: BTreeSet<(u64, StepId)>,
+    /// Units of occurrences that are not due yet, by due time.
+    not_due: BTreeSet<(u64, StepId)>,
     arrivals: u64,
     commits: Commits,
-    learned: Learned,
-    /// Questions to the advisor that are under way, and the long ones among them.
-    questions: usize,
-    long_questions: usize,
-    /// Daemons through which the advisor can be asked.
-    advisors: usize,
-    place_due: bool,
+    estimates: Learned,
+    /// Queries to the advisor that are not answered yet.
+    queries: usize,
+    /// Those of them that are expected to take long.
+    long_queries: usize,
+    /// Number of daemons that can forward queries to the advisor.
+    advisor_daemons: usize,
+    cycle_due: bool,
     effects: Vec<Effect>,
-    deposed: bool,
+    /// Whether a worker has seen the token of a later leader.
+    superseded: bool,
     next_sweep_ms: u64,
-    next_place_ms: u64,
+    next_cycle_ms: u64,
 }
 
-/// The order of the queue.
+/// The sort key of a unit in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     priority: u32,
-    /// What a customer sends beyond its weight waits for what others send within theirs.
+    /// Within one priority, jobs beyond their customer's weight come after the jobs of
+    /// customers that are within theirs.
     beyond_weight: bool,
-    due_ms: u64,
+    /// The time after which the job is late.
+    deadline_unix_ms: u64,
     arrival: u64,
 }
 
-/// How often things that no event announces are looked at.
-const SWEEP_EVERY_MS: u64 = 100;
+/// Interval of the sweep, which handles what no event announces.
+const SWEEP_INTERVAL_MS: u64 = 100;
 
-/// Least time between two passes over the queue. Hundreds of ends and arrivals a
-/// second would each cost a cycle over all workers.
-const PLACE_EVERY_MS: u64 = 8;
-/// A millisecond is added to it for each so many workers, since a cycle costs with them.
-const WORKERS_EACH_MS: usize = 200;
+/// Minimum time between two scheduling cycles. Otherwise each of the hundreds of run ends
+/// and arrivals a second would cost a cycle over all workers.
+const CYCLE_INTERVAL_MS: u64 = 8;
+/// One millisecond is added to the interval for every this many workers, since the cost
+/// of a cycle grows with their number.
+const WORKERS_PER_EXTRA_MS: usize = 200;
 
 impl Pool {
-    /// A scheduler that has just been elected.
+    /// The state of a scheduler that has just won the leader election.
     pub fn new(election: Election, limits: Limits, now_ms: u64, unix_ms: u64) -> Self {
         Self {
             limits,
             election,
-            renewed_ms: now_ms,
+            leader_lease_renewed_ms: now_ms,
             now_ms,
             unix_ms,
             started_ms: now_ms,
@@ -195,24 +201,25 @@
             early_cancels: BTreeSet::new(),
             customers: Customers::default(),
             workers: BTreeMap::new(),
-            names: Vec::new(),
+            worker_names: Vec::new(),
             queue: BTreeMap::new(),
-            timed: BTreeSet::new(),
+            not_due: BTreeSet::new(),
             arrivals: 0,
             commits: Commits::default(),
-            learned: Learned::default(),
-            questions: 0,
-            long_questions: 0,
-            advisors: 1,
-            place_due: true,
+            estimates: Learned::default(),
+            queries: 0,
+            long_queries: 0,
+            advisor_daemons: 1,
+            cycle_due: true,
             effects: Vec::new(),
-            deposed: false,
+            superseded: false,
             next_sweep_ms: 0,
-            next_place_ms: 0,
+            next_cycle_ms: 0,
         }
     }
 
-    /// Puts a job back that was accepted before this scheduler began.
+    /// Restores a job that was accepted under an earlier leader, with its stored progress
+    /// if it has any.
     pub fn restore(&mut self, id: JobId, spec: Arc<JobSpec>, progress: Option<&Progress>) {
         let mut job = self.new_job(id, spec);
         let Some(progress) = progress else {
@@ -226,15 +233,16 @@
         }
     }
 
-    /// Notes where a task may run. The worker may be listed no more; then it is
-    /// asked at the address it had, and whatever it lists or its silence tells.
+    /// Allocates a task on the worker on which it may still run. If the worker is no
+    /// longer listed, it is polled at its stored address; the runs that it lists, or the
+    /// expiry of its lease if it is silent, tell what became of the run.
     fn adopt(&mut self, job: JobId, row: &TaskProgress) {
         let Some(name) = row.worker.clone().filter(|_| !row.done) else { return };
         let Some(job) = self.jobs.get(&job) else { return };
-        let over = job.outcome.is_some();
+        let job_ended = job.outcome.is_some();
         let Some(unit) = job.units.get(row.unit as usize) else { return };
         let id = TaskId { step: unit.id, index: row.index };
-        let taken = job.taken(row.unit as usize);
+        let allocation = job.allocation(row.unit as usize);
         let service = job.spec.queue.service.clone();
         if !self.workers.contains_key(&name) {
             let address = row.address.clone();
@@ -244,26 +252,27 @@
             );
         }
         let Some(worker) = self.workers.get_mut(&name) else { return };
-        // A start may have reached a later life than the one that it was meant
-        // for, so whatever the rows say of lives, the first hold tells.
+        // A start may have reached a later incarnation than the one that it was meant
+        // for. So only the first hold tells where the run is, whatever incarnation the
+        // row names.
         worker.info.incarnation = worker.info.incarnation.max(row.incarnation);
-        worker.take(id, taken);
-        if over {
-            // The earlier scheduler may have died before its stop got there.
+        worker.take(id, allocation);
+        if job_ended {
+            // The earlier leader may have failed before its stop reached the worker.
             self.stop(id);
         }
     }
 
-    /// Adds a worker that is not known.
+    /// Adds a worker that is not known yet.
     pub(crate) fn add_worker(&mut self, update: WorkerUpdate, listed: bool) {
-        let slot = Slot(self.names.len());
+        let slot = Slot(self.worker_names.len());
         let name = update.worker.clone();
         let worker = Worker { listed, ..Worker::new(slot, update, self.earlier_lapse_ms()) };
-        self.names.push(name.clone());
+        self.worker_names.push(name.clone());
         self.workers.insert(name, worker);
     }
 
-    /// Handles one event.
+    /// Processes one event. `now_ms` is monotonic time, `unix_ms` is Unix time.
     pub fn handle(&mut self, now_ms: u64, unix_ms: u64, event: Event) {
         self.now_ms = self.now_ms.max(now_ms);
         self.unix_ms = unix_ms;
@@ -286,7 +295,7 @@
                 self.on_advised(step, &asked, cost_ms, granted, received_ms);
             }
             Event::Customers { limits } => self.on_customers(limits),
-            Event::Advisors { count } => self.advisors = count.max(1),
+            Event::Advisors { count } => self.advisor_daemons = count.max(1),
             Event::Committed { batch, partition } => self.on_committed(batch, partition),
             Event::InDoubt { job } => {
                 self.effects.push(Effect::Answer { job, accepted: Accepted::Unknown });
@@ -295,64 +304,66 @@
         }
     }
 
-    /// What has to be done by now.
+    /// Advances the pool to `now_ms` and returns the actions to be carried out now.
     pub fn poll_effects(&mut self, now_ms: u64, unix_ms: u64) -> Vec<Effect> {
         self.now_ms = self.now_ms.max(now_ms);
         self.unix_ms = unix_ms;
         self.turn += 1;
         if self.now_ms >= self.next_sweep_ms {
-            self.next_sweep_ms = self.now_ms + SWEEP_EVERY_MS;
+            self.next_sweep_ms = self.now_ms + SWEEP_INTERVAL_MS;
             self.sweep();
         }
-        if self.place_due && self.now_ms >= self.next_place_ms {
-            self.place_due = false;
-            self.next_place_ms = self.now_ms + self.place_every_ms();
+        if self.cycle_due && self.now_ms >= self.next_cycle_ms {
+            self.cycle_due = false;
+            self.next_cycle_ms = self.now_ms + self.cycle_interval_ms();
             self.place();
         }
         self.commit();
         self.call_workers();
-        if self.deposed {
+        if self.superseded {
             self.effects.push(Effect::StepDown);
         }
         std::mem::take(&mut self.effects)
     }
 
-    fn place_every_ms(&self) -> u64 {
-        PLACE_EVERY_MS + (self.workers.len() / WORKERS_EACH_MS) as u64
+    fn cycle_interval_ms(&self) -> u64 {
+        CYCLE_INTERVAL_MS + (self.workers.len() / WORKERS_PER_EXTRA_MS) as u64
     }
 
-    /// How long until something is due that no event announces.
+    /// The time until [`Self::poll_effects`] has to be called again if no event arrives.
     pub fn idle_ms(&self, now_ms: u64) -> u64 {
-        let place_ms = if self.place_due { self.next_place_ms } else { u64::MAX };
+        let cycle_ms = if self.cycle_due { self.next_cycle_ms } else { u64::MAX };
         let commit_ms = self.commits.due_ms().unwrap_or(u64::MAX);
-        self.next_sweep_ms.min(place_ms).min(commit_ms).saturating_sub(now_ms)
+        self.next_sweep_ms.min(cycle_ms).min(commit_ms).saturating_sub(now_ms)
     }
 
-    /// What callers are told of a job; `None` is an unknown one.
+    /// The state of a job as callers see it; `None` if the job is not known.
     pub fn state(&self, job: JobId) -> Option<JobState> {
         self.jobs.get(&job).map(Job::state)
     }
 
-    /// What callers are told of a job, and whose it is.
+    /// The state of a job as callers see it, and the customer that owns the job; `None`
+    /// if the job is not known.
     pub fn view(&self, job: JobId) -> Option<JobView> {
         let job = self.jobs.get(&job)?;
         let customer = job.spec.customer.as_ref().map(|customer| customer.name.clone());
         Some(JobView { state: job.state(), customer })
     }
 
-    /// Jobs of a queue of which no task has begun yet, by what workers have said.
+    /// The number of unfinished jobs of a queue of which no worker has reported that a
+    /// task began.
     pub fn pending(&self, queue: &str) -> usize {
         let pending =
             |job: &&Job| !job.begun && job.outcome.is_none() && job.spec.queue.name == queue;
         self.jobs.values().filter(pending).count()
     }
 
-    /// The availability zone of a worker.
+    /// The availability zone of a worker; `None` if the worker is not known.
     pub fn zone(&self, worker: &WorkerId) -> Option<&ZoneName> {
         self.workers.get(worker).map(|worker| &worker.info.zone)
     }
 
-    /// Workers in each availability zone.
+    /// The number of known workers in each availability zone.
     pub fn workers_by_zone(&self) -> BTreeMap<ZoneName, usize> {
         let mut counts = BTreeMap::new();
         for worker in self.workers.values() {
@@ -361,18 +372,19 @@
         counts
     }
 
-    /// Whether a commit is under way, so that a stop may wait for it.
+    /// Whether rows are being written or wait to be written. A daemon that stops may wait
+    /// until this is `false`.
     pub fn is_committing(&self) -> bool {
         self.commits.is_busy()
     }
 
     fn on_accepted(&mut self, id: JobId, spec: Arc<JobSpec>) {
         if self.jobs.contains_key(&id) {
-            // A gateway wrote it itself while it was under way here.
+            // A gateway wrote the submission itself while its commit was in flight here.
             self.on_accept_durable(id);
             return;
         }
-        tracing::info!(job = %id, queue = spec.queue.name, "job taken on");
+        tracing::info!(job = %id, queue = spec.queue.name, "job accepted");
         let job = self.new_job(id, spec);
         self.admit(job);
         if self.early_cancels.remove(&id) {
@@ -383,55 +395,56 @@
     fn new_job(&mut self, id: JobId, spec: Arc<JobSpec>) -> Job {
         let customer = spec.customer.as_ref().map(|limits| self.customers.id_of(limits));
         let accepted_ms = spec.accepted_unix_ms;
-        let within = customer.is_none_or(|id| self.customers.note_arrival(id, accepted_ms));
-        Job { beyond_weight: !within, ..Job::new(id, spec, customer) }
+        let within_weight = customer.is_none_or(|id| self.customers.note_arrival(id, accepted_ms));
+        Job { beyond_weight: !within_weight, ..Job::new(id, spec, customer) }
     }
 
     fn on_customers(&mut self, limits: Vec<CustomerLimits>) {
         self.customers.update(limits);
-        self.place_due = true;
+        self.cycle_due = true;
     }
 
     fn admit(&mut self, job: Job) {
         let id = job.id;
         let units = job.units.len();
-        let over = job.outcome.is_some();
+        let job_ended = job.outcome.is_some();
         self.jobs.insert(id, job);
-        if over {
+        if job_ended {
             return;
         }
         for unit in 0..units {
             self.enqueue_if_ready(id, unit);
         }
-        self.place_due = true;
+        self.cycle_due = true;
     }
 
-    /// Puts a unit into the queue if it has tasks to place and nothing to wait for.
+    /// Puts a unit into the queue if it has tasks to place and all steps that it depends
+    /// on are done. A unit that is not due yet is queued once it is due.
     fn enqueue_if_ready(&mut self, id: JobId, unit: usize) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.outcome.is_some() || job.units[unit].queued || !job.is_ready(unit) {
             return;
         }
-        if job.units[unit].waiting().next().is_none() {
+        if job.units[unit].waiting_tasks().next().is_none() {
             return;
         }
         let step = job.units[unit].id;
         let due_unix_ms = job.spec.due_unix_ms(step.occurrence);
         if due_unix_ms > self.unix_ms {
-            self.timed.insert((due_unix_ms, step));
+            self.not_due.insert((due_unix_ms, step));
             return;
         }
         job.units[unit].queued = true;
-        let late_unix_ms = job.spec.accepted_unix_ms.max(due_unix_ms) + job.spec.allowed_ms();
+        let late_after_unix_ms = job.spec.accepted_unix_ms.max(due_unix_ms) + job.spec.allowed_ms();
         let key = QueueKey {
             priority: job.spec.queue.priority,
             beyond_weight: job.beyond_weight,
-            due_ms: late_unix_ms,
+            deadline_unix_ms: late_after_unix_ms,
             arrival: self.arrivals,
         };
         self.arrivals += 1;
         self.queue.insert(key, step);
-        self.place_due = true;
+        self.cycle_due = true;
     }
 
     fn on_cancelled(&mut self, id: JobId) {
@@ -446,28 +459,29 @@
         self.finish(id, Outcome::Cancelled);
     }
 
-    /// Ends a job: nothing of it is started any more, what runs is stopped.
+    /// Ends a job: none of its tasks is started any more, and those that run are stopped.
     fn finish(&mut self, id: JobId, outcome: Outcome) {
         let unix_ms = self.unix_ms;
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.outcome = Some(outcome);
         job.finished_unix_ms = unix_ms;
-        let tasks: Vec<TaskId> = tasks_anywhere(job);
+        let tasks: Vec<TaskId> = placed_tasks(job);
         for task in tasks {
             self.stop(task);
         }
-        self.commits.settle(id);
-        self.place_due = true;
+        self.commits.record_outcome(id);
+        self.cycle_due = true;
     }
 
-    /// What only time announces: due occurrences, leases that lapsed, stops
-    /// without answer, tasks that stand still, jobs to be forgotten.
+    /// Handles what becomes due by time alone: occurrences, expired leases, unanswered
+    /// stops, stalled tasks, submissions that wait for a stuck partition, and jobs whose
+    /// retention is over.
     fn sweep(&mut self) {
-        while let Some((due_unix_ms, step)) = self.timed.first().copied() {
+        while let Some((due_unix_ms, step)) = self.not_due.first().copied() {
             if due_unix_ms > self.unix_ms {
                 break;
             }
-            self.timed.pop_first();
+            self.not_due.pop_first();
             let unit = self.jobs.get(&step.job).and_then(|job| job.unit_of(step));
             if let Some(unit) = unit {
                 self.enqueue_if_ready(step.job, unit);
@@ -475,42 +489,44 @@
         }
         self.sweep_workers();
         self.sweep_runs();
-        self.look_at_use();
+        self.sample_usage();
         self.refuse_behind_stuck();
-        self.forget_jobs();
-        self.place_due = true;
+        self.remove_expired_jobs();
+        self.cycle_due = true;
     }
 
-    fn look_at_use(&mut self) {
+    /// Records how much room the tasks of each priority take on each service's workers.
+    fn sample_usage(&mut self) {
         let mut used: HashMap<&str, BTreeMap<u32, Resources>> = HashMap::new();
         for worker in self.workers.values() {
-            let ranks = used.entry(&worker.info.service).or_default();
-            for (task, taken) in &worker.tasks {
+            let by_priority = used.entry(&worker.info.service).or_default();
+            for (task, allocation) in &worker.tasks {
                 let Some(job) = self.jobs.get(&task.step.job) else { continue };
-                let sum = ranks.entry(job.spec.queue.priority).or_default();
-                *sum = sum.plus(&taken.room);
+                let sum = by_priority.entry(job.spec.queue.priority).or_default();
+                *sum = sum.plus(&allocation.room);
             }
         }
-        for (service, ranks) in used {
-            self.learned.saw_use(service, &ranks);
+        for (service, by_priority) in used {
+            self.estimates.saw_use(service, &by_priority);
         }
     }
 
-    fn forget_jobs(&mut self) {
-        let old = |job: &&Job| {
-            job.settled
-                && !job.is_anywhere()
+    fn remove_expired_jobs(&mut self) {
+        let is_expired = |job: &&Job| {
+            job.outcome_durable
+                && !job.has_placed_tasks()
                 && job.finished_unix_ms + self.limits.job_retention_ms < self.unix_ms
         };
-        let gone: Vec<JobId> = self.jobs.values().filter(old).map(|job| job.id).collect();
-        for id in gone {
+        let expired: Vec<JobId> = self.jobs.values().filter(is_expired).map(|job| job.id).collect();
+        for id in expired {
             self.jobs.remove(&id);
             self.commits.remove(id);
         }
     }
 }
 
-fn tasks_anywhere(job: &Job) -> Vec<TaskId> {
+/// The tasks that may run on a worker and are not done.
+fn placed_tasks(job: &Job) -> Vec<TaskId> {
     let mut tasks = Vec::new();
     for unit in &job.units {
         for (index, task) in unit.tasks.iter().enumerate() {
--- a/crates/pool/src/pace.rs
+++ b/crates/pool/src/pace.rs
@@ -71,7 +71,7 @@
     }
 
     fn pace(&mut self, name: &WorkerId, id: TaskId, run: u32, percent: u32) {
-        let Some(task) = self.task_at(id, run, name) else { return };
+        let Some(task) = self.task_for_run(id, run, name) else { return };
         if task.pace_percent.unwrap_or(FULL_PACE) == percent {
             return;
         }
@@ -91,7 +91,7 @@
     ) {
         let Err(error) = reply else { return };
         tracing::warn!(task = %id, run, worker = %from, %error, "pace not set");
-        let Some(task) = self.task_at(id, run, from) else { return };
+        let Some(task) = self.task_for_run(id, run, from) else { return };
         // No pace that is ever asked for, so that the next report asks again.
         task.pace_percent = Some(FULL_PACE + 1);
     }
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -72,7 +72,7 @@
                 continue;
             };
             let Some(unit) = job.unit_of(step) else { continue };
-            if job.outcome.is_some() || job.units[unit].waiting().next().is_none() {
+            if job.outcome.is_some() || job.units[unit].waiting_tasks().next().is_none() {
                 self.unqueue(key, step);
                 continue;
             }
@@ -174,7 +174,7 @@
     pub(crate) fn needs_ms(&self, step: StepId) -> u64 {
         let Some(job) = self.jobs.get(&step.job) else { return 0 };
         let estimate_ms = job.spec.steps[step.step as usize].estimate_ms;
-        self.learned.expected_ms(&job.spec.queue.name, estimate_ms)
+        self.estimates.expected_ms(&job.spec.queue.name, estimate_ms)
     }
 
     /// How long a unit could wait and its job still be in time; below 0 it is late
@@ -185,7 +185,7 @@
         let needs_ms = self.needs_ms(step) as f64;
         // The due time stands on the estimate too; what was learned moves both.
         let moved_ms = job.spec.queue.slack_factor * (needs_ms - estimate_ms);
-        (key.due_ms as f64 + moved_ms - self.unix_ms as f64 - needs_ms) as i64
+        (key.deadline_unix_ms as f64 + moved_ms - self.unix_ms as f64 - needs_ms) as i64
     }
 
     fn unqueue(&mut self, key: QueueKey, step: StepId) {
@@ -209,7 +209,7 @@
         let advice = job.spec.queue.advice;
         let customer = job.customer;
         let state = &job.units[unit];
-        let mut waiting: Vec<u32> = state.waiting().collect();
+        let mut waiting: Vec<u32> = state.waiting_tasks().collect();
         if spec.gang && waiting.len() < state.tasks.len() {
             return Attempt::Waits;
         }
@@ -221,7 +221,7 @@
             }
             waiting.truncate(cap_places as usize);
         }
-        if spec.gang && advice.is_some() && state.advice.questions > 0 {
+        if spec.gang && advice.is_some() && state.advice.queries > 0 {
             return Attempt::Waits;
         }
         let mut allowed = self.allowed(step, unit, &spec, cycle);
@@ -243,7 +243,7 @@
         let may_ask = self.may_renew(step, advice, &chosen, cycle);
         if !chosen.is_empty() && may_start && may_ask {
             for (index, at) in &chosen {
-                let name = self.names[cycle.rooms[*at].slot.0].clone();
+                let name = self.worker_names[cycle.rooms[*at].slot.0].clone();
                 self.reserve(TaskId { step, index: *index }, &name);
             }
             if let Some(customer) = customer {
@@ -263,7 +263,7 @@
             if with_old_tickets > allowed.len() && self.renew_tickets(step, unit, &spec, cycle) {
                 return Attempt::Waits;
             }
-            self.ask_more(step, unit, &spec, advice, priority, cycle);
+            self.query_more_workers(step, unit, &spec, advice, priority, cycle);
         }
         Attempt::Waits
     }
@@ -322,13 +322,13 @@
     }
 
     pub(crate) fn name_of(&self, room: &Room) -> &WorkerId {
-        &self.names[room.slot.0]
+        &self.worker_names[room.slot.0]
     }
 
     fn reserve(&mut self, id: TaskId, name: &WorkerId) {
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
         let Some(unit) = job.unit_of(id.step) else { return };
-        let taken = job.taken(unit);
+        let taken = job.allocation(unit);
         let Some(task) = job.task_mut(id) else { return };
         task.phase = Phase::Reserved;
         task.worker = Some(name.clone());
--- a/crates/pool/src/request.rs
+++ b/crates/pool/src/request.rs
@@ -1,4 +1,4 @@
-//! Which workers the advisor is asked about.
+//! Selects the workers that the advisor is queried about.
 
 use std::cmp::Reverse;
 
@@ -15,21 +15,25 @@
 use crate::spec::StepSpec;
 use crate::worker::Slot;
 
-/// Fewest workers with room for which a step that has enough asks once more.
-const ASKED_AGAIN_MIN: usize = 4;
-/// Which further workers to ask about is worked out again after this: it means
-/// a look at every worker for each waiting step.
-const ASK_AGAIN_MS: u64 = 150;
-/// Free places that a gang hopes to be granted, against those it needs: which
-/// workers are granted varies, and some of the room is taken before the answer.
+/// A step that was granted enough workers queries about others only if at least this many
+/// of them have room.
+const FURTHER_WORKERS_MIN: usize = 4;
+/// The selection of further workers for a step is repeated after this. It examines every
+/// worker for each waiting step.
+const SELECTION_INTERVAL_MS: u64 = 150;
+/// Ratio of the free places that a gang's queries are expected to grant to the places that
+/// it still needs: which workers are granted varies, and some of the room is taken before
+/// the answer arrives.
 const FREE_FACTOR: f64 = 4.0;
 
 impl Pool {
-    /// Asks anew for all workers that may run a step, if one of them has room.
+    /// Requests new tickets for all workers that were granted to a step, if one of them has
+    /// room. Returns whether the step has to wait for tickets rather than query about
+    /// further workers.
     ///
-    /// The advisor takes nearly as long for one worker as for all of them, and
-    /// with good tickets at hand whatever room comes free next is used at once;
-    /// asking only when room is found keeps the room empty meanwhile.
+    /// The advisor takes nearly as long for one worker as for all of them, and with valid
+    /// tickets any room that comes free is used at once. Requesting a ticket only once room
+    /// is found leaves that room idle until the answer.
     pub(crate) fn renew_tickets(
         &mut self,
         step: StepId,
@@ -39,14 +43,14 @@
     ) -> bool {
         let Some(job) = self.jobs.get(&step.job) else { return false };
         let advice = &job.units[unit].advice;
-        if advice.questions > 0 || advice.pause_until_ms > self.now_ms {
+        if advice.queries > 0 || advice.pause_until_ms > self.now_ms {
             return true;
         }
         let need = spec.room();
         let mut names = Vec::new();
         let mut has_room = false;
-        for one in self.allowed(step, unit, spec, cycle) {
-            let room = &cycle.rooms[one.at];
+        for allowed in self.allowed(step, unit, spec, cycle) {
+            let room = &cycle.rooms[allowed.at];
             has_room |= room.free.holds(&need);
             names.push(self.name_of(room).clone());
         }
@@ -58,15 +62,16 @@
         has_room
     }
 
-    /// Asks the advisor about open workers that it was not asked about yet,
-    /// those with the most room first.
+    /// Queries the advisor about open workers that it was not queried about yet, those with
+    /// the most free places first.
     ///
-    /// A gang asks about as many as it takes to be granted room for all of it at
-    /// once, as far as room is free now: the few workers that would do in an empty
-    /// pool have none in a busy one. It asks again while others have such room. A
-    /// step of single tasks asks again only for several workers with room: each
-    /// question costs the time to decide, however little it asks.
-    pub(crate) fn ask_more(
+    /// A gang names as many workers as it takes to be granted places for all of its tasks
+    /// at once, as far as places are free now: the few workers that would be enough in an
+    /// empty pool have no room in a busy one. It queries again while other workers have
+    /// such room. A step of independent tasks queries again only if several workers have
+    /// room, since each query costs the advisor's decision time, however few workers it
+    /// names.
+    pub(crate) fn query_more_workers(
         &mut self,
         step: StepId,
         unit: usize,
@@ -78,85 +83,88 @@
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&step.job) else { return };
         let advice = &mut job.units[unit].advice;
-        if advice.questions > 0 || advice.pause_until_ms.max(advice.retry_at_ms) > now_ms {
+        if advice.queries > 0 || advice.pause_until_ms.max(advice.retry_at_ms) > now_ms {
             return;
         }
-        advice.retry_at_ms = now_ms + ASK_AGAIN_MS;
+        advice.retry_at_ms = now_ms + SELECTION_INTERVAL_MS;
         let Some(job) = self.jobs.get(&step.job) else { return };
         let Some(service) = cycle.service(&job.spec.queue.service) else { return };
         let advice = &job.units[unit].advice;
         let need = spec.room();
         let places_of = |room: &Room| places_in(&room.capacity, &need);
-        let granted_at = |slot: &Slot| cycle.at(*slot).map(|at| &cycle.rooms[at]);
-        let places: u64 = advice.granted.keys().filter_map(granted_at).map(places_of).sum();
-        let enough = places >= u64::from(spec.tasks) * PLACES_FACTOR;
-        let first = advice.asked.is_empty();
-        let any_room = first || !enough;
-        let free_at = |room: &Room| {
+        let granted_room = |slot: &Slot| cycle.at(*slot).map(|index| &cycle.rooms[index]);
+        let places: u64 = advice.granted.keys().filter_map(granted_room).map(places_of).sum();
+        let has_enough = places >= u64::from(spec.tasks) * PLACES_FACTOR;
+        let is_first_query = advice.asked.is_empty();
+        let include_full = is_first_query || !has_enough;
+        let free_places = |room: &Room| {
             if room.is_for(step, priority) { places_in(&room.free, &need) } else { 0 }
         };
-        // Those with the most room first.
-        let mut fresh: Vec<(Reverse<u64>, u64, usize)> = Vec::new();
-        for (at, room) in cycle.rooms.iter().enumerate() {
+        // Ordered by free places, the most first.
+        let mut candidates: Vec<(Reverse<u64>, u64, usize)> = Vec::new();
+        for (index, room) in cycle.rooms.iter().enumerate() {
             if !room.capacity.holds(&need) || !self.is_eligible(service, spec, room) {
                 continue;
             }
-            let free = free_at(room);
-            if (free == 0 && !any_room) || advice.asked.contains(&room.slot) {
+            let free = free_places(room);
+            if (free == 0 && !include_full) || advice.asked.contains(&room.slot) {
                 continue;
             }
-            fresh.push((Reverse(free), spread(step, room.slot), at));
+            candidates.push((Reverse(free), tie_break(step, room.slot), index));
         }
-        if fresh.is_empty() || (enough && fresh.len() < ASKED_AGAIN_MIN) {
+        if candidates.is_empty() || (has_enough && candidates.len() < FURTHER_WORKERS_MIN) {
             return;
         }
-        let places: u64 = fresh.iter().map(|(.., at)| places_of(&cycle.rooms[*at])).sum();
-        let places_each = places / fresh.len() as u64;
-        let mut most = self.asked_max(&job.spec.queue, u64::from(spec.tasks), places_each);
-        let free_all: u64 = fresh.iter().map(|(free, ..)| free.0).sum();
-        // No question names more; the others need no order.
+        let places: u64 =
+            candidates.iter().map(|(.., index)| places_of(&cycle.rooms[*index])).sum();
+        let mean_places = places / candidates.len() as u64;
+        let mut workers_max = self.asked_max(&job.spec.queue, u64::from(spec.tasks), mean_places);
+        let free_total: u64 = candidates.iter().map(|(free, ..)| free.0).sum();
+        // Queries name no more than this, so the rest needs no order.
         let named_max = self.limits.advice_workers_max * self.gang_questions_max();
-        if fresh.len() > named_max {
-            fresh.select_nth_unstable(named_max);
-            fresh.truncate(named_max);
+        if candidates.len() > named_max {
+            candidates.select_nth_unstable(named_max);
+            candidates.truncate(named_max);
         }
-        fresh.sort_unstable();
+        candidates.sort_unstable();
         if spec.gang {
-            let known = advice.granted.keys().filter_map(granted_at);
-            let free_now: u64 = known.map(free_at).sum();
-            let missing = u64::from(spec.tasks).saturating_sub(free_now);
-            let free: Vec<u64> = fresh.iter().map(|(free, ..)| free.0).collect();
-            let share = self.learned.granted_share(&job.spec.queue.name);
+            let granted = advice.granted.keys().filter_map(granted_room);
+            let free_granted: u64 = granted.map(free_places).sum();
+            let missing = u64::from(spec.tasks).saturating_sub(free_granted);
+            let free: Vec<u64> = candidates.iter().map(|(free, ..)| free.0).collect();
+            let granted_share = self.estimates.granted_share(&job.spec.queue.name);
             let wanted = missing as f64 * FREE_FACTOR;
-            match workers_for(wanted, &free, share) {
-                Some(workers) => most = most.max(workers).min(named_max),
-                None if enough && (free_all as f64) * share < wanted => return,
-                None => most = named_max,
+            match workers_for(wanted, &free, granted_share) {
+                Some(workers) => workers_max = workers_max.max(workers).min(named_max),
+                None if has_enough && (free_total as f64) * granted_share < wanted => return,
+                None => workers_max = named_max,
             }
         }
-        let asked = fresh.into_iter().take(most);
+        let selected = candidates.into_iter().take(workers_max);
         let names: Vec<WorkerId> =
-            asked.map(|(.., at)| self.name_of(&cycle.rooms[at]).clone()).collect();
+            selected.map(|(.., index)| self.name_of(&cycle.rooms[index]).clone()).collect();
         if self.may_ask(rule, names.len()) {
             self.ask(step, &names);
         }
     }
 }
 
-/// How many of the workers, those with the most free places first, to ask about
-/// for this many places to be granted; `None` if all of them are too few.
+/// How many workers to query about so that `wanted` places are expected to be granted.
+/// `free` has the free places of each worker, the most first. `None` if all of them are too
+/// few.
 fn workers_for(wanted: f64, free: &[u64], granted_share: f64) -> Option<usize> {
     let mut expected = 0.0;
-    for (number, places) in free.iter().enumerate() {
+    for (workers, places) in free.iter().enumerate() {
         if expected >= wanted {
-            return Some(number);
+            return Some(workers);
         }
         expected += *places as f64 * granted_share;
     }
     (expected >= wanted).then_some(free.len())
 }
 
-/// Spreads equal choices over the workers, each step in its own order.
-fn spread(step: StepId, slot: Slot) -> u64 {
+/// Orders workers with equally many free places, for each step differently, so that steps
+/// spread over the workers.
+fn tie_break(step: StepId, slot: Slot) -> u64 {
     xxh3_64_with_seed(&slot.0.to_le_bytes(), step.job.0 ^ u64::from(step.step))
 }
--- a/crates/pool/src/runs.rs
+++ b/crates/pool/src/runs.rs
@@ -1,4 +1,4 @@
-//! A task's way from a free place to its end.
+//! The life cycle of a run, from its recorded start to its end.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 
 use crate::INCARNATION_BITS;
 use crate::Pool;
-use crate::commit::After;
+use crate::commit::AfterCommit;
 use crate::event::CallError;
 use crate::event::Callee;
 use crate::event::Effect;
@@ -22,13 +22,14 @@
 use crate::record::Outcome;
 use crate::worker::Worker;
 
-/// How long a start takes to its worker.
-const START_WAY_MS: u64 = 15;
-/// A worker that refused for want of room or health is left alone this long.
-const REFUSED_PAUSE_MS: u64 = 500;
+/// The time that a start needs to reach its worker.
+const START_LATENCY_MS: u64 = 15;
+/// How long a worker gets no new tasks after it refused a start because it had no room or
+/// was unwell.
+const REFUSED_START_PAUSE_MS: u64 = 500;
 
 impl Pool {
-    /// Sends a start whose row is durable.
+    /// Sends a start whose row has become durable.
     pub(crate) fn send_start(&mut self, id: TaskId, run: u32) {
         let now_ms = self.now_ms;
         let lease_ms = self.limits.lease_ms;
@@ -45,23 +46,23 @@
         let Some(worker) = self.workers.get_mut(&name) else { return };
         let may_start = worker.held && !worker.info.draining;
         let Some(until_ms) = worker.until(now_ms, lease_ms).filter(|_| may_start) else {
-            // While its row was written the worker began a new life, or to leave.
-            self.not_started(id);
+            // While the row was written, the worker restarted or began to drain.
+            self.requeue_unstarted(id);
             return;
         };
         let ticket = unit.advice.granted.get(&worker.slot).filter(|_| needs_ticket);
-        if ticket
-            .is_some_and(|ticket| !ticket.is_fresh(worker.info.incarnation, now_ms + START_WAY_MS))
-        {
-            // Its row took longer than the ticket is good for, as in a store outage; the
-            // worker would turn it away.
-            self.not_started(id);
+        if ticket.is_some_and(|ticket| {
+            !ticket.is_fresh(worker.info.incarnation, now_ms + START_LATENCY_MS)
+        }) {
+            // Writing the row took longer than the ticket is valid, as in a store outage. The
+            // worker would refuse the start.
+            self.requeue_unstarted(id);
             return;
         }
         let ticket = ticket.map(|ticket| ticket.text.clone());
         worker.until_max = worker.until_max.max(until_ms);
         task.phase = Phase::Sent;
-        task.moved_ms = now_ms;
+        task.last_progress_ms = now_ms;
         job.started = true;
         let to = callee(self.election.epoch, &self.workers, &name);
         let Some(to) = to else { return };
@@ -91,7 +92,7 @@
             match &reply {
                 Ok(StartReply::NoRoom | StartReply::Unwell) | Err(CallError::Unwell) => {
                     worker.quarantine_until_ms =
-                        worker.quarantine_until_ms.max(now_ms + REFUSED_PAUSE_MS);
+                        worker.quarantine_until_ms.max(now_ms + REFUSED_START_PAUSE_MS);
                 }
                 Err(CallError::NoAnswer | CallError::NotSent) => worker.silent += 1,
                 Err(CallError::Refused) => {
@@ -101,51 +102,52 @@
                 _ => {}
             }
         }
-        let Some(task) = self.task_at(id, run, from) else { return };
+        let Some(task) = self.task_for_run(id, run, from) else { return };
         if !matches!(task.phase, Phase::Sent) {
             return;
         }
         match reply {
             Ok(StartReply::Started) => {
                 task.phase = Phase::Running { since_turn: turn };
-                task.moved_ms = now_ms;
+                task.last_progress_ms = now_ms;
                 task.began_ms = now_ms;
-                self.note_begun(id);
+                self.mark_begun(id);
             }
             Ok(StartReply::OldRun) | Err(CallError::NoAnswer) => {
-                tracing::warn!(task = %id, run, worker = %from, ?reply, "start in doubt");
+                tracing::warn!(task = %id, run, worker = %from, ?reply, "start not confirmed; the run is stopped");
                 self.stop(id);
             }
             Ok(answer) => {
-                tracing::warn!(task = %id, run, worker = %from, %answer, "not started");
+                tracing::warn!(task = %id, run, worker = %from, %answer, "start refused by the worker; the task is queued again");
                 if answer == StartReply::BadTicket {
                     self.drop_ticket(id, from);
                 }
-                self.not_started(id);
+                self.requeue_unstarted(id);
             }
             Err(error) => {
-                tracing::warn!(task = %id, run, worker = %from, %error, "not started");
-                self.not_started(id);
+                tracing::warn!(task = %id, run, worker = %from, %error, "start not carried out; the task is queued again");
+                self.requeue_unstarted(id);
             }
         }
     }
 
-    /// Takes note that a worker has begun a task of the job.
-    pub(crate) fn note_begun(&mut self, id: TaskId) {
+    /// Records that a worker has begun a task of the job.
+    pub(crate) fn mark_begun(&mut self, id: TaskId) {
         if let Some(job) = self.jobs.get_mut(&id.step.job) {
             job.begun = true;
         }
     }
 
-    /// The run was surely not begun. Members of a gang that were, would wait
-    /// for it in vain, so the gang is gathered again.
-    pub(crate) fn not_started(&mut self, id: TaskId) {
+    /// Queues a task again whose run certainly did not begin. Other members of its gang that
+    /// did begin would wait for it in vain, so the whole gang is stopped and placed again.
+    pub(crate) fn requeue_unstarted(&mut self, id: TaskId) {
         self.release(id);
-        self.break_gang(id);
+        self.stop_other_members(id);
         self.requeue(id);
     }
 
-    /// Makes sure that a task does not run where it was sent.
+    /// Makes sure that a task does not run on the worker it was placed on. Room of a run
+    /// that may have been sent stays allocated until the run is known to be gone.
     pub(crate) fn stop(&mut self, id: TaskId) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
@@ -180,10 +182,10 @@
     ) {
         let now_ms = self.now_ms;
         let turn = self.turn;
-        let Some(task) = self.task_at(id, run, from) else { return };
+        let Some(task) = self.task_for_run(id, run, from) else { return };
         let Phase::Stopping { answered_turn, sent_ms } = &mut task.phase else { return };
         if let Err(error) = reply {
-            tracing::warn!(task = %id, run, worker = %from, %error, "stop not answered");
+            tracing::warn!(task = %id, run, worker = %from, %error, "stop not answered; it is sent again");
             *sent_ms = now_ms;
             return;
         }
@@ -195,47 +197,47 @@
         }
     }
 
-    /// Takes in how a run ended.
-    pub(crate) fn on_end(
+    /// Handles the end of a run that a worker listed. `checkpoint` is empty if there is none.
+    pub(crate) fn on_run_ended(
         &mut self,
         id: TaskId,
         run: u32,
         from: &WorkerId,
         end: RunOutcome,
-        saved: &str,
+        checkpoint: &str,
     ) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
         let Some(unit) = job.unit_of(id.step) else { return };
         let step = job.step(unit);
         let gang = step.gang;
-        let lasting = step.long_running;
+        let long_running = step.long_running;
         let speculative = step.speculative;
-        let over = job.outcome.is_some();
+        let job_ended = job.outcome.is_some();
         let Some(task) = job.task_mut(id) else { return };
-        let here = task.run == run && task.worker.as_ref() == Some(from);
+        let is_newest_run = task.run == run && task.worker.as_ref() == Some(from);
         let copy_is_done = speculative && end == RunOutcome::Done;
-        if !here {
+        if !is_newest_run {
             if copy_is_done {
-                tracing::info!(task = %id, run, worker = %from, "copy ended, done");
+                tracing::info!(task = %id, run, worker = %from, "another run of a speculative task completed");
                 self.on_copy_done(id);
             }
             return;
         }
         if task.phase == Phase::Done {
-            // A gang's member that another one's end stood for.
+            // The member of a gang that was marked done when another member completed.
             self.release(id);
             return;
         }
-        let settled = task.copy_done;
-        if !saved.is_empty() {
-            saved.clone_into(&mut task.checkpoint);
+        let copy_done = task.copy_done;
+        if !checkpoint.is_empty() {
+            checkpoint.clone_into(&mut task.checkpoint);
         }
-        // A run that an earlier scheduler placed has a time that is not known.
+        // The duration of a run that an earlier leader placed is not known.
         let took_ms = (task.placed_ms > 0).then(|| now_ms.saturating_sub(task.placed_ms));
         tracing::info!(task = %id, run, worker = %from, %end, took_ms, "run ended");
         if let Some(took_ms) = took_ms.filter(|_| end == RunOutcome::Done && run == 1) {
-            self.learned.ran(&job.spec.queue.name, took_ms);
+            self.estimates.ran(&job.spec.queue.name, took_ms);
         }
         job.begun = true;
         self.release(id);
@@ -243,20 +245,20 @@
             match end {
                 RunOutcome::Done => worker.record_success(),
                 RunOutcome::Failed if worker.record_failure(now_ms, 1) => {
-                    tracing::warn!(worker = %from, "worker left alone: runs fail on it");
+                    tracing::warn!(worker = %from, "worker quarantined; runs fail on it");
                 }
                 _ => {}
             }
         }
-        if over || settled {
+        if job_ended || copy_done {
             return;
         }
         match end {
-            RunOutcome::Done if !lasting => self.on_done(id, gang),
-            RunOutcome::Failed if !lasting => self.on_failed(id, run, gang),
+            RunOutcome::Done if !long_running => self.on_done(id, gang),
+            RunOutcome::Failed if !long_running => self.on_failed(id, run, gang),
             _ => {
                 if gang {
-                    self.break_gang(id);
+                    self.stop_other_members(id);
                 }
                 self.requeue(id);
             }
@@ -268,7 +270,7 @@
         let Some(unit) = job.unit_of(id.step) else { return };
         let mut members = vec![id.index];
         if gang {
-            // The members end together, so one end stands for all.
+            // The members end together, so when one completes, all of them are done.
             members = (0..job.units[unit].tasks.len() as u32).collect();
         }
         for index in members {
@@ -276,46 +278,47 @@
             if task.phase == Phase::Done {
                 continue;
             }
-            // Its room stays taken until its worker lists its own end.
+            // The room of another member stays allocated until its worker lists its end.
             task.phase = Phase::Done;
-            job.units[unit].left -= 1;
+            job.units[unit].remaining_tasks -= 1;
         }
         self.on_unit_progress(id, unit);
     }
 
-    /// An earlier run of a task that may have copies was done after all. The newest
-    /// one may be under way: it is stopped, and takes its room until it is gone.
+    /// Handles the completion of an earlier run of a speculative task. The newest run may
+    /// still be active: it is stopped, and its room stays allocated until it is gone.
     fn on_copy_done(&mut self, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
         let Some(unit) = job.unit_of(id.step) else { return };
-        let over = job.outcome.is_some();
+        let job_ended = job.outcome.is_some();
         let Some(task) = job.task_mut(id) else { return };
-        if over || task.is_done() {
+        if job_ended || task.is_done() {
             return;
         }
         task.copy_done = true;
         if task.phase == Phase::Waiting {
             task.phase = Phase::Done;
         }
-        job.units[unit].left -= 1;
+        job.units[unit].remaining_tasks -= 1;
         self.stop(id);
         self.on_unit_progress(id, unit);
     }
 
-    /// A task of the unit is done; maybe it was the last one.
+    /// After a task of the unit is done: ends the job or queues the steps that waited for
+    /// the unit, if it was the unit's last task.
     fn on_unit_progress(&mut self, id: TaskId, unit: usize) {
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
-        if job.units[unit].left > 0 {
+        if job.units[unit].remaining_tasks > 0 {
             return;
         }
-        // Tickets of a hundred workers are most of what a job weighs.
+        // The tickets of a hundred workers take most of a job's memory.
         job.units[unit].advice = Advice::default();
         if job.is_done() {
             self.finish(id.step.job, Outcome::Completed);
             return;
         }
-        for later in 0..job.units.len() {
-            self.enqueue_if_ready(id.step.job, later);
+        for other_unit in 0..job.units.len() {
+            self.enqueue_if_ready(id.step.job, other_unit);
         }
     }
 
@@ -338,13 +341,13 @@
             return;
         }
         if gang {
-            self.break_gang(id);
+            self.stop_other_members(id);
         }
         self.requeue(id);
     }
 
-    /// Stops the other members of a gang after one of them ended or was not begun.
-    pub(crate) fn break_gang(&mut self, id: TaskId) {
+    /// Stops the other members of a gang after one of them ended or did not begin.
+    pub(crate) fn stop_other_members(&mut self, id: TaskId) {
         let Some(job) = self.jobs.get(&id.step.job) else { return };
         let Some(unit) = job.unit_of(id.step) else { return };
         if !job.step(unit).gang {
@@ -357,28 +360,28 @@
         }
     }
 
-    /// Gives back the room of a task that is nowhere any more.
+    /// Frees the room of a task that is no longer on any worker.
     pub(crate) fn release(&mut self, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
         let Some(task) = job.task_mut(id) else { return };
-        let waits = !task.is_done();
-        task.phase = if waits { Phase::Waiting } else { Phase::Done };
+        let needs_run = !task.is_done();
+        task.phase = if needs_run { Phase::Waiting } else { Phase::Done };
         task.percent = 0;
         let Some(name) = task.worker.take() else { return };
         if let Some(worker) = self.workers.get_mut(&name) {
             worker.give_back(id);
         }
-        self.place_due = true;
+        self.cycle_due = true;
     }
 
-    /// Puts a task's unit back into the queue.
+    /// Puts a task's unit back into the queue if it has tasks to place.
     pub(crate) fn requeue(&mut self, id: TaskId) {
         let Some(job) = self.jobs.get(&id.step.job) else { return };
         let Some(unit) = job.unit_of(id.step) else { return };
         self.enqueue_if_ready(id.step.job, unit);
     }
 
-    /// Records where a task will run; the start follows once that is durable.
+    /// Records on which worker a task will run. The start is sent once the row is durable.
     pub(crate) fn record_start(&mut self, id: TaskId, run: u32) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
@@ -391,23 +394,28 @@
         task.phase = Phase::Recorded;
         task.run = run;
         task.percent = 0;
-        task.moved_ms = now_ms;
+        task.last_progress_ms = now_ms;
         task.placed_ms = now_ms;
         task.began_ms = 0;
-        task.seen = false;
+        task.listed_by_worker = false;
         task.pace_percent = None;
-        self.commits.note(id.step.job, After::Start { task: id, run });
+        self.commits.mark_dirty(id.step.job, AfterCommit::Start { task: id, run });
     }
 
-    /// The task, if this run of it is on this worker.
-    pub(crate) fn task_at(&mut self, id: TaskId, run: u32, worker: &WorkerId) -> Option<&mut Task> {
+    /// The task, if `run` is its newest run and is placed on `worker`.
+    pub(crate) fn task_for_run(
+        &mut self,
+        id: TaskId,
+        run: u32,
+        worker: &WorkerId,
+    ) -> Option<&mut Task> {
         let task = self.jobs.get_mut(&id.step.job)?.task_mut(id)?;
-        let here = task.run == run && task.worker.as_ref() == Some(worker);
-        here.then_some(task)
+        let is_newest_run = task.run == run && task.worker.as_ref() == Some(worker);
+        is_newest_run.then_some(task)
     }
 }
 
-/// Where a call to a worker goes, under the token of its present life.
+/// The destination of a call to a worker, with the token of its current incarnation.
 pub(crate) fn callee(
     epoch: u64,
     workers: &BTreeMap<WorkerId, Worker>,
--- a/crates/pool/src/speed.rs
+++ b/crates/pool/src/speed.rs
@@ -45,7 +45,7 @@
                 continue;
             }
             let queue = &job.spec.queue.name;
-            let expected_ms = self.learned.expected_ms(queue, step.estimate_ms);
+            let expected_ms = self.estimates.expected_ms(queue, step.estimate_ms);
             time_ms += had_ms;
             done_ms += expected_ms * u64::from(task.percent) / 100;
             tasks.push((*id, had_ms, u64::from(task.percent), expected_ms));
--- a/crates/pool/src/stalled.rs
+++ b/crates/pool/src/stalled.rs
@@ -31,7 +31,7 @@
         let mut still = Vec::new();
         let mut lost = Vec::new();
         for job in self.jobs.values() {
-            if job.outcome.is_some() && !job.is_anywhere() {
+            if job.outcome.is_some() && !job.has_placed_tasks() {
                 continue;
             }
             for (number, unit) in job.units.iter().enumerate() {
@@ -42,10 +42,11 @@
                 let gang_ms = if step.gang { GANG_STALL_MS } else { 0 };
                 let stall_ms = STALL_MS.max(step.estimate_ms * STALL_PERCENT / 100) + gang_ms;
                 // A gang's member that is through waits for the others to end.
-                let gang_moved_ms = unit.tasks.iter().map(|task| task.moved_ms).max().unwrap_or(0);
+                let gang_moved_ms =
+                    unit.tasks.iter().map(|task| task.last_progress_ms).max().unwrap_or(0);
                 for (index, task) in unit.tasks.iter().enumerate() {
                     let id = TaskId { step: unit.id, index: index as u32 };
-                    let moved_ms = if step.gang { gang_moved_ms } else { task.moved_ms };
+                    let moved_ms = if step.gang { gang_moved_ms } else { task.last_progress_ms };
                     match task.phase {
                         Phase::Stopping { answered_turn: None, sent_ms }
                             if sent_ms + STOP_AGAIN_MS < self.now_ms =>
@@ -83,7 +84,7 @@
 
     /// Whether the answer to a start must have come by now.
     pub(crate) fn is_start_lost(&self, task: &Task) -> bool {
-        task.phase == Phase::Sent && task.moved_ms + START_LOST_MS < self.now_ms
+        task.phase == Phase::Sent && task.last_progress_ms + START_LOST_MS < self.now_ms
     }
 
     fn move_stalled(&mut self, id: TaskId) {
@@ -97,7 +98,7 @@
         let Some(name) = task.worker.clone() else { return };
         let Some(worker) = self.workers.get_mut(&name) else { return };
         // Only answers prove that it is the task that stands still and not the link.
-        if worker.answered_ms < task.moved_ms.max(task.placed_ms) + STALL_MS {
+        if worker.answered_ms < task.last_progress_ms.max(task.placed_ms) + STALL_MS {
             return;
         }
         if gang {
@@ -109,6 +110,6 @@
         let percent = task.percent;
         tracing::warn!(task = %id, worker = %name, percent, "task stands still, moved away");
         self.stop(id);
-        self.break_gang(id);
+        self.stop_other_members(id);
     }
 }
--- a/crates/pool/src/submit.rs
+++ b/crates/pool/src/submit.rs
@@ -1,8 +1,8 @@
-//! Submissions on their way to becoming jobs.
+//! Submissions that are not durable yet.
 //!
-//! A submission is placed while it is made durable, so that its first start needs no write
-//! of its own and the caller's job begins one write sooner. Nothing is sent anywhere before
-//! it is durable; until then it can be withdrawn without a trace.
+//! The tasks of a submission are placed while the submission is made durable. So its first
+//! start needs no write of its own and the job begins one write earlier. Nothing is sent to
+//! a worker before the submission is durable; until then it can be withdrawn without a trace.
 
 use std::sync::Arc;
 
@@ -15,21 +15,21 @@
 use crate::id::TaskId;
 use crate::spec::JobSpec;
 
-/// What became of a submission or cancellation.
+/// The outcome of a submission or cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Accepted {
     /// It is durable.
     Yes,
-    /// It is surely not durable and never will be.
+    /// It is not durable and never will be.
     No,
     /// A job of another customer has this number.
     Taken,
-    /// Nothing could tell in time.
+    /// It could not be determined in time whether it is durable.
     Unknown,
 }
 
 impl Pool {
-    /// Takes a submission; `None` means that [`Effect::Answer`] will tell what became of it.
+    /// Accepts a submission. `None` means that its outcome follows as [`Effect::Answer`].
     pub fn submit(
         &mut self,
         now_ms: u64,
@@ -40,13 +40,14 @@
         self.now_ms = self.now_ms.max(now_ms);
         self.unix_ms = unix_ms;
         if let Some(job) = self.jobs.get(&id) {
-            let name = |spec: &JobSpec| spec.customer.as_ref().map(|one| one.name.clone());
+            let name =
+                |spec: &JobSpec| spec.customer.as_ref().map(|customer| customer.name.clone());
             if name(&job.spec) != name(&spec) {
                 return Some(Accepted::Taken);
             }
             return job.durable.then_some(Accepted::Yes);
         }
-        if self.is_part_stuck(id) {
+        if self.is_partition_stuck(id) {
             return Some(Accepted::No);
         }
         let mut job = self.new_job(id, spec);
@@ -59,10 +60,10 @@
         None
     }
 
-    /// Takes a submission back that is not durable; `false` if it may be.
+    /// Withdraws a submission that is not durable; `false` if it may be durable already.
     pub fn withdraw(&mut self, id: JobId) -> bool {
-        let proposed = self.jobs.get(&id).is_some_and(|job| !job.durable);
-        if !proposed || !self.commits.withdraw(id) {
+        let known_not_durable = self.jobs.get(&id).is_some_and(|job| !job.durable);
+        if !known_not_durable || !self.commits.withdraw(id) {
             return false;
         }
         self.drop_submission(id);
@@ -74,12 +75,12 @@
         if std::mem::replace(&mut job.durable, true) {
             return;
         }
-        tracing::info!(job = %id, queue = job.spec.queue.name, "job taken on");
+        tracing::info!(job = %id, queue = job.spec.queue.name, "job accepted");
         self.effects.push(Effect::Answer { job: id, accepted: Accepted::Yes });
     }
 
-    /// The store will never have this submission: it turned it away, or another
-    /// customer's job has its number.
+    /// Handles a submission that the store will never have, because it refused the write
+    /// or another customer's job has the number.
     pub(crate) fn on_rejected(&mut self, id: JobId, accepted: Accepted) {
         if self.jobs.get(&id).is_none_or(|job| job.durable) {
             return;
@@ -88,7 +89,7 @@
         self.effects.push(Effect::Answer { job: id, accepted });
     }
 
-    /// Forgets a submission; none of its tasks was sent anywhere.
+    /// Removes a submission. None of its tasks was sent to a worker.
     fn drop_submission(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
         let mut placed = Vec::new();
--- a/crates/pool/src/wakeup.rs
+++ b/crates/pool/src/wakeup.rs
@@ -16,7 +16,7 @@
     /// Tasks that nobody will look at again, each with the reason.
     pub fn tasks_without_wakeup(&self) -> Vec<String> {
         let queued: BTreeSet<StepId> = self.queue.values().copied().collect();
-        let timed: BTreeSet<StepId> = self.timed.iter().map(|(_, step)| *step).collect();
+        let timed: BTreeSet<StepId> = self.not_due.iter().map(|(_, step)| *step).collect();
         let mut found = Vec::new();
         for job in self.jobs.values().filter(|job| job.outcome.is_none()) {
             for (number, unit) in job.units.iter().enumerate() {
@@ -42,10 +42,10 @@
     ) -> Option<&'static str> {
         match task.phase {
             Phase::Waiting if job.is_ready(unit) && !queued => Some("waits outside the queue"),
-            Phase::Reserved if job.units[unit].advice.questions == 0 => {
+            Phase::Reserved if job.units[unit].advice.queries == 0 => {
                 Some("has room, and nobody asks for its ticket")
             }
-            Phase::Recorded if !self.commits.holds(job.id) => {
+            Phase::Recorded if !self.commits.has_pending(job.id) => {
                 Some("has room, and its row is not written")
             }
             Phase::Sent if self.is_start_lost(task) => Some("was sent, and no answer came"),
--- a/crates/pool/tests/lines.rs
+++ b/crates/pool/tests/lines.rs
@@ -77,11 +77,11 @@
         world.cancel(2);
         world.run(1_000);
     });
-    assert_fields(&lines, "job taken on", &["job", "queue"]);
+    assert_fields(&lines, "job accepted", &["job", "queue"]);
     assert_fields(&lines, "run placed", &["task", "run", "worker", "left_cpu_millis"]);
     assert_fields(&lines, "run ended", &["task", "run", "worker", "end", "took_ms"]);
     let settled = ["job", "queue", "outcome", "took_ms", "allowed_ms"];
-    assert_fields(&lines, "job settled", &settled);
+    assert_fields(&lines, "job finished", &settled);
     assert_fields(&lines, "job cancelled", &["job"]);
 }
 
@@ -105,7 +105,11 @@
     assert_fields(&lines, "worker listed", &["worker", "address"]);
     assert_fields(&lines, "worker held", &["worker", "active", "ended"]);
     assert_fields(&lines, "hold not answered", &["worker", "error", "tasks"]);
-    assert_fields(&lines, "start in doubt", &["task", "run", "worker", "reply"]);
+    assert_fields(
+        &lines,
+        "start not confirmed; the run is stopped",
+        &["task", "run", "worker", "reply"],
+    );
     assert_fields(&lines, "worker began a new life", &["worker", "life"]);
     assert_fields(&lines, "lease of a silent worker has lapsed", &["worker"]);
     assert_fields(&lines, "run lost with its worker", &["task", "worker"]);
