--- a/crates/node/src/accept.rs
+++ b/crates/node/src/accept.rs
@@ -14,7 +14,7 @@
 use stoatwell_pool::Accepted;
 use stoatwell_pool::CustomerLimits;
 use stoatwell_pool::JobId;
-use stoatwell_pool::PARTS;
+use stoatwell_pool::PARTITIONS;
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -75,8 +75,8 @@
 impl Acceptor {
     /// Spawns one writer task per shard.
     pub fn start(platform: Arc<impl Platform>, health: Arc<StoreHealth>) -> Self {
-        let mut shards = Vec::with_capacity(PARTS);
-        for _ in 0..PARTS {
+        let mut shards = Vec::with_capacity(PARTITIONS);
+        for _ in 0..PARTITIONS {
             let (requests, queue) = mpsc::channel(QUEUE_MAX);
             tokio::spawn(run_writer(Arc::clone(&platform), Arc::clone(&health), queue));
             shards.push(requests);
--- a/crates/pool/src/advise.rs
+++ b/crates/pool/src/advise.rs
@@ -63,13 +63,13 @@
         places_each: u64,
     ) -> usize {
         let each_ms = queue.advice.map_or(0.0, |rule| rule.each_ms);
-        let overloaded = self.questions > self.advisors * PENDING_QUERIES_PER_DAEMON_MAX;
+        let overloaded = self.queries > self.advisor_daemons * PENDING_QUERIES_PER_DAEMON_MAX;
         let affordable = match each_ms {
             _ if overloaded => 0,
             each_ms if each_ms > 0.0 => (PER_WORKER_BUDGET_MS / each_ms) as usize,
             _ => usize::MAX,
         };
-        let places_each = places_each.max(1) as f64 * self.learned.granted_share(&queue.name);
+        let places_each = places_each.max(1) as f64 * self.estimates.granted_share(&queue.name);
         let needed = ((tasks * SUFFICIENT_PLACES_FACTOR) as f64 / places_each).ceil() as usize;
         affordable.max(needed).clamp(QUERY_WORKERS_MIN, self.limits.advice_workers_max)
     }
@@ -86,7 +86,7 @@
 
     /// How many more long queries may be sent now.
     fn free_long_queries(&self) -> usize {
-        long_queries_max(self.advisors).saturating_sub(self.long_questions)
+        long_queries_max(self.advisor_daemons).saturating_sub(self.long_queries)
     }
 
     /// Queries the advisor about these workers, split into as many queries as needed.
@@ -98,9 +98,9 @@
         let queries = workers.len().div_ceil(self.limits.advice_workers_max).max(1);
         for chunk in workers.chunks(workers.len().div_ceil(queries).max(1)) {
             let cost_ms = query_cost_ms(rule, chunk.len());
-            job.units[unit].advice.questions += 1;
-            self.questions += 1;
-            self.long_questions += usize::from(cost_ms >= LONG_QUERY_MS);
+            job.units[unit].advice.queries += 1;
+            self.queries += 1;
+            self.long_queries += usize::from(cost_ms >= LONG_QUERY_MS);
             let workers = chunk.to_vec();
             self.effects.push(Effect::Advise { step, workers, priority, cost_ms });
         }
@@ -115,19 +115,19 @@
         received_ms: u64,
     ) {
         let now_ms = self.now_ms;
-        self.questions = self.questions.saturating_sub(1);
+        self.queries = self.queries.saturating_sub(1);
         if cost_ms >= LONG_QUERY_MS {
-            self.long_questions = self.long_questions.saturating_sub(1);
+            self.long_queries = self.long_queries.saturating_sub(1);
         }
         let Some(job) = self.jobs.get_mut(&step.job) else { return };
         let Some(rule) = job.spec.queue.advice else { return };
         let Some(unit) = job.unit_of(step) else { return };
         job.units[unit].retry_at_ms = 0;
         let advice = &mut job.units[unit].advice;
-        advice.questions = advice.questions.saturating_sub(1);
+        advice.queries = advice.queries.saturating_sub(1);
         advice.retry_at_ms = 0;
         if let Some(granted) = &granted {
-            self.learned.record_grants(&job.spec.queue.name, queried.len(), granted.len());
+            self.estimates.record_grants(&job.spec.queue.name, queried.len(), granted.len());
         }
         match granted {
             None => advice.pause_until_ms = now_ms + RETRY_DELAY_MS,
@@ -138,14 +138,14 @@
                 for grant in granted {
                     let Some(worker) = self.workers.get(&grant.worker) else { continue };
                     let expires_ms = received_ms.min(now_ms) + rule.valid_ms;
-                    let life = worker.info.life;
-                    let ticket = Ticket { text: grant.ticket, life, expires_ms };
+                    let incarnation = worker.info.incarnation;
+                    let ticket = Ticket { text: grant.ticket, incarnation, expires_ms };
                     advice.granted.insert(worker.slot, ticket);
                 }
             }
         }
         self.start_reserved_tasks(step);
-        self.place_due = true;
+        self.cycle_due = true;
     }
 
     /// Starts the tasks that waited for tickets.
@@ -186,7 +186,7 @@
         let Some(unit) = job.unit_of(step) else { return false };
         let Some(worker) = self.workers.get(name) else { return false };
         let Some(ticket) = job.units[unit].advice.granted.get(&worker.slot) else { return false };
-        ticket.is_fresh(worker.info.life, self.start_arrival_ms(step.job, job.spec.queue.advice))
+        ticket.is_fresh(worker.info.incarnation, self.start_arrival_ms(step.job, job.spec.queue.advice))
     }
 
     /// Estimates when a start that is recorded now arrives at its worker.
@@ -197,7 +197,7 @@
     /// slow.
     pub(crate) fn start_arrival_ms(&self, job: JobId, advice: Option<AdviceSpec>) -> u64 {
         let valid_ms = advice.map_or(0, |rule| rule.valid_ms);
-        let writes_ms = self.commits.usual_ms(job, self.now_ms) * 2;
+        let writes_ms = self.commits.expected_batch_ms(job, self.now_ms) * 2;
         // Limited so that a new ticket still counts as fresh.
         let margin_ms = (TICKET_MARGIN_MS + writes_ms).min(valid_ms * TICKET_MARGIN_PERCENT / 100);
         self.now_ms + margin_ms
--- a/crates/pool/src/choose.rs
+++ b/crates/pool/src/choose.rs
@@ -201,7 +201,7 @@
     pub(crate) fn begin_cycle(&self) -> Cycle {
         let mut cycle = Cycle { customers: self.customer_usage(), ..Cycle::default() };
         cycle.workers.reserve(self.workers.len());
-        cycle.indices.resize(self.names.len(), None);
+        cycle.indices.resize(self.worker_names.len(), None);
         let worker_faults = self.services_with_worker_faults();
         for worker in self.workers.values() {
             let quarantine_waived = worker.is_only_suspect(self.now_ms)
@@ -221,7 +221,7 @@
             cycle.workers.push(WorkerView {
                 slot: worker.slot,
                 service,
-                incarnation: worker.info.life,
+                incarnation: worker.info.incarnation,
                 suspect: worker.is_suspect(),
                 free,
                 capacity: worker.info.capacity,
@@ -233,7 +233,7 @@
 
     /// The worker with this slot; `None` if it has been removed.
     pub(crate) fn worker_at(&self, slot: Slot) -> Option<&Worker> {
-        self.workers.get(self.names.get(slot.0)?)
+        self.workers.get(self.worker_names.get(slot.0)?)
     }
 
     /// Services whose failed runs are presumably caused by their workers.
@@ -341,11 +341,11 @@
             return Resources::ZERO;
         };
         let service = &job.spec.queue.service;
-        let urgent = self.learned.mean_usage(service, 0..1).share(HEADROOM_PERCENT, 100);
+        let urgent = self.estimates.mean_usage(service, 0..1).share(HEADROOM_PERCENT, 100);
         if self.slack_ms(key, step) < self.expected_task_ms(step) as i64 {
             return urgent;
         }
-        let between = self.learned.mean_usage(service, 1..key.priority);
+        let between = self.estimates.mean_usage(service, 1..key.priority);
         urgent.plus(&between.share(SLACK_HEADROOM_PERCENT, 100))
     }
 
--- a/crates/pool/src/holds.rs
+++ b/crates/pool/src/holds.rs
@@ -10,7 +10,7 @@
 use stoatwell_model::WorkerId;
 
 use crate::Pool;
-use crate::commit::After;
+use crate::commit::AfterCommit;
 use crate::event::CallError;
 use crate::event::Effect;
 use crate::event::HoldCall;
@@ -58,12 +58,12 @@
             self.add_worker(update, true);
             return;
         };
-        if update.life < worker.info.life {
+        if update.incarnation < worker.info.incarnation {
             return;
         }
-        if update.life > worker.info.life {
-            let incarnation = update.life;
-            worker.info = WorkerUpdate { life: worker.info.life, ..update };
+        if update.incarnation > worker.info.incarnation {
+            let incarnation = update.incarnation;
+            worker.info = WorkerUpdate { incarnation: worker.info.incarnation, ..update };
             worker.listed = true;
             self.begin_incarnation(&name, incarnation);
             return;
@@ -76,7 +76,7 @@
         }
         worker.listed = true;
         worker.info = update;
-        self.place_due = true;
+        self.cycle_due = true;
     }
 
     /// When every lease that an earlier scheduler granted has certainly expired.
@@ -88,7 +88,7 @@
     /// Notes a renewal of the leader lease at `renewed_ms`, in steady time. The leases of
     /// workers may be extended until [`EXTENSION_WINDOW_MS`] after it.
     pub fn note_renewal(&mut self, renewed_ms: u64) {
-        self.renewed_ms = self.renewed_ms.max(renewed_ms);
+        self.leader_lease_renewed_ms = self.leader_lease_renewed_ms.max(renewed_ms);
     }
 
     pub(crate) fn on_unlisted(&mut self, name: &WorkerId) {
@@ -111,10 +111,10 @@
             let task = self.jobs.get_mut(&id.step.job).and_then(|job| job.task_mut(id));
             let Some(task) = task else { continue };
             match task.phase {
-                Phase::Sent | Phase::Running { .. } | Phase::Adopted if !task.seen => {
+                Phase::Sent | Phase::Running { .. } | Phase::Adopted if !task.listed_by_worker => {
                     task.phase = Phase::Adopted;
                 }
-                Phase::Stopping { .. } if !task.seen => {
+                Phase::Stopping { .. } if !task.listed_by_worker => {
                     task.phase = Phase::Stopping { answered_turn: None, sent_ms: 0 };
                 }
                 _ => {
@@ -166,7 +166,7 @@
     /// Releases and requeues a task whose run certainly exists nowhere any more.
     pub(crate) fn lose_run(&mut self, id: TaskId) {
         self.release(id);
-        self.break_gang(id);
+        self.stop_other_members(id);
         self.requeue(id);
     }
 
@@ -190,10 +190,10 @@
             }
         };
         // An answer to the token of an earlier incarnation says nothing about this one.
-        if reply.life < worker.info.life || turn <= worker.incarnation_turn {
+        if reply.life < worker.info.incarnation || turn <= worker.incarnation_turn {
             return;
         }
-        if reply.life > worker.info.life {
+        if reply.life > worker.info.incarnation {
             self.begin_incarnation(name, reply.life);
             if let Some(worker) = self.workers.get_mut(name) {
                 // The capacity of the new incarnation is unknown until it is listed.
@@ -216,7 +216,7 @@
         self.reconcile(name, turn, &reply);
         self.check_speed(name);
         self.throttle_best_effort(name, &reply);
-        self.place_due = true;
+        self.cycle_due = true;
     }
 
     fn on_hold_failed(&mut self, name: &WorkerId, error: CallError) {
@@ -232,7 +232,7 @@
             }
             CallError::Superseded => {
                 tracing::warn!(worker = %name, "worker has seen a higher fencing token; stepping down");
-                self.deposed = true;
+                self.superseded = true;
             }
             CallError::NoAnswer | CallError::NotSent | CallError::Unwell => {}
         }
@@ -247,14 +247,15 @@
                 continue;
             }
             worker.last_processed_end = ended.number;
-            let life = worker.info.life;
+            let incarnation = worker.info.incarnation;
             let job = ended.task.step.job;
             if self.jobs.contains_key(&job) {
                 worker.non_durable_ends.insert(ended.number);
-                let after = After::Forget { worker: name.clone(), life, number: ended.number };
-                self.commits.note(job, after);
+                let after =
+                    AfterCommit::Forget { worker: name.clone(), incarnation, number: ended.number };
+                self.commits.mark_dirty(job, after);
             }
-            self.on_end(ended.task, ended.run, name, ended.end, &ended.checkpoint);
+            self.on_run_ended(ended.task, ended.run, name, ended.end, &ended.checkpoint);
         }
     }
 
@@ -264,7 +265,7 @@
         let this_turn = self.turn;
         let Some(worker) = self.workers.get(name) else { return };
         let placed: Vec<TaskId> = worker.tasks.keys().copied().collect();
-        let mut reported: HashMap<(TaskId, u32), &crate::event::Active> = HashMap::new();
+        let mut reported: HashMap<(TaskId, u32), &crate::event::ActiveRun> = HashMap::new();
         for active in &reply.active {
             reported.insert((active.task, active.run), active);
         }
@@ -276,7 +277,7 @@
             };
             if let Some(active) = reported.remove(&(id, task.run)) {
                 update_running_task(task, active, now_ms, this_turn);
-                self.note_begun(id);
+                self.mark_begun(id);
                 continue;
             }
             if is_surely_gone(task, turn) {
@@ -302,7 +303,7 @@
                 continue;
             };
             if let Some(unit) = job.unit_of(id.step) {
-                allocations.push(job.taken(unit));
+                allocations.push(job.allocation(unit));
             }
             self.stop_unwanted_run(name, id, run);
         }
@@ -322,7 +323,7 @@
         let now_ms = self.now_ms;
         let lease_ms = self.limits.lease_ms;
         let turn = self.turn;
-        let may_extend = now_ms < self.renewed_ms + EXTENSION_WINDOW_MS;
+        let may_extend = now_ms < self.leader_lease_renewed_ms + EXTENSION_WINDOW_MS;
         let many_workers = self.workers.len() > LONG_WAIT_WORKERS;
         let wait_ms = if many_workers { HOLD_WAIT_MS * 2 } else { HOLD_WAIT_MS };
         let mut due = Vec::new();
@@ -405,16 +406,16 @@
 }
 
 /// Updates a task from the worker's report of its run.
-fn update_running_task(task: &mut Task, active: &crate::event::Active, now_ms: u64, turn: u64) {
+fn update_running_task(task: &mut Task, active: &crate::event::ActiveRun, now_ms: u64, turn: u64) {
     if matches!(task.phase, Phase::Sent | Phase::Adopted) {
         task.phase = Phase::Running { since_turn: turn };
-        task.moved_ms = now_ms;
+        task.last_progress_ms = now_ms;
         task.began_ms = now_ms;
     }
-    task.seen = true;
+    task.listed_by_worker = true;
     if active.percent != task.percent {
         task.percent = active.percent;
-        task.moved_ms = now_ms;
+        task.last_progress_ms = now_ms;
     }
     if !active.checkpoint.is_empty() {
         task.checkpoint.clone_from(&active.checkpoint);
--- a/crates/pool/src/pace.rs
+++ b/crates/pool/src/pace.rs
@@ -76,7 +76,7 @@
 
     /// Sends a run's pace to its worker unless the worker already has it.
     fn set_pace(&mut self, name: &WorkerId, id: TaskId, run: u32, percent: u32) {
-        let Some(task) = self.task_at(id, run, name) else { return };
+        let Some(task) = self.task_for_run(id, run, name) else { return };
         if task.pace_percent.unwrap_or(FULL_PACE) == percent {
             return;
         }
@@ -96,7 +96,7 @@
     ) {
         let Err(error) = reply else { return };
         tracing::warn!(task = %id, run, worker = %from, %error, "setting the pace failed; retrying with the next report");
-        let Some(task) = self.task_at(id, run, from) else { return };
+        let Some(task) = self.task_for_run(id, run, from) else { return };
         // A pace that is never requested, so that the next report triggers a new call.
         task.pace_percent = Some(FULL_PACE + 1);
     }
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -71,7 +71,7 @@
                 continue;
             };
             let Some(unit) = job.unit_of(step) else { continue };
-            if job.outcome.is_some() || job.units[unit].waiting().next().is_none() {
+            if job.outcome.is_some() || job.units[unit].waiting_tasks().next().is_none() {
                 self.dequeue(key, step);
                 continue;
             }
@@ -178,7 +178,7 @@
     pub(crate) fn expected_task_ms(&self, step: StepId) -> u64 {
         let Some(job) = self.jobs.get(&step.job) else { return 0 };
         let estimate_ms = job.spec.steps[step.step as usize].estimate_ms;
-        self.learned.expected_ms(&job.spec.queue.name, estimate_ms)
+        self.estimates.expected_ms(&job.spec.queue.name, estimate_ms)
     }
 
     /// How long the unit could still wait without making its job late; negative if the job
@@ -190,7 +190,7 @@
         // The due time was derived from the submitted estimate; it is moved by the slack
         // factor times the difference from the duration that is expected now.
         let correction_ms = job.spec.queue.slack_factor * (expected_ms - estimate_ms);
-        (key.due_ms as f64 + correction_ms - self.unix_ms as f64 - expected_ms) as i64
+        (key.deadline_unix_ms as f64 + correction_ms - self.unix_ms as f64 - expected_ms) as i64
     }
 
     fn dequeue(&mut self, key: QueueKey, step: StepId) {
@@ -216,7 +216,7 @@
         let advice = job.spec.queue.advice;
         let customer = job.customer;
         let state = &job.units[unit];
-        let mut waiting: Vec<u32> = state.waiting().collect();
+        let mut waiting: Vec<u32> = state.waiting_tasks().collect();
         if spec.gang && waiting.len() < state.tasks.len() {
             return Attempt::Waits;
         }
@@ -228,7 +228,7 @@
             }
             waiting.truncate(fit_under_cap as usize);
         }
-        if spec.gang && advice.is_some() && state.advice.questions > 0 {
+        if spec.gang && advice.is_some() && state.advice.queries > 0 {
             return Attempt::Waits;
         }
         let mut eligible = self.eligible_workers(step, unit, &spec, cycle);
@@ -252,7 +252,7 @@
         let may_query = self.may_renew(step, advice, &chosen, cycle);
         if !chosen.is_empty() && may_start && may_query {
             for (task_index, worker_index) in &chosen {
-                let name = self.names[cycle.workers[*worker_index].slot.0].clone();
+                let name = self.worker_names[cycle.workers[*worker_index].slot.0].clone();
                 self.reserve(TaskId { step, index: *task_index }, &name);
             }
             if let Some(customer) = customer {
@@ -272,7 +272,7 @@
             if eligible_count > eligible.len() && self.renew_tickets(step, unit, &spec, cycle) {
                 return Attempt::Waits;
             }
-            self.ask_more(step, unit, &spec, advice, priority, cycle);
+            self.query_more_workers(step, unit, &spec, advice, priority, cycle);
         }
         Attempt::Waits
     }
@@ -335,14 +335,14 @@
     }
 
     pub(crate) fn name_of(&self, view: &WorkerView) -> &WorkerId {
-        &self.names[view.slot.0]
+        &self.worker_names[view.slot.0]
     }
 
     /// Allocates a worker's capacity for a task that may still need a ticket.
     fn reserve(&mut self, id: TaskId, name: &WorkerId) {
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
         let Some(unit) = job.unit_of(id.step) else { return };
-        let allocation = job.taken(unit);
+        let allocation = job.allocation(unit);
         let Some(task) = job.task_mut(id) else { return };
         task.phase = Phase::Reserved;
         task.worker = Some(name.clone());
--- a/crates/pool/src/stalled.rs
+++ b/crates/pool/src/stalled.rs
@@ -29,7 +29,7 @@
         let mut stalled = Vec::new();
         let mut lost_starts = Vec::new();
         for job in self.jobs.values() {
-            if job.outcome.is_some() && !job.is_anywhere() {
+            if job.outcome.is_some() && !job.has_placed_tasks() {
                 continue;
             }
             for (unit_index, unit) in job.units.iter().enumerate() {
@@ -41,10 +41,11 @@
                 let stall_ms = STALL_MS.max(step.estimate_ms * STALL_PERCENT / 100) + gang_ms;
                 // A finished member of a gang shows no progress while it waits for the others,
                 // so the latest progress of any member counts.
-                let gang_moved_ms = unit.tasks.iter().map(|task| task.moved_ms).max().unwrap_or(0);
+                let gang_moved_ms =
+                    unit.tasks.iter().map(|task| task.last_progress_ms).max().unwrap_or(0);
                 for (index, task) in unit.tasks.iter().enumerate() {
                     let id = TaskId { step: unit.id, index: index as u32 };
-                    let moved_ms = if step.gang { gang_moved_ms } else { task.moved_ms };
+                    let moved_ms = if step.gang { gang_moved_ms } else { task.last_progress_ms };
                     match task.phase {
                         Phase::Stopping { answered_turn: None, sent_ms }
                             if sent_ms + STOP_RETRY_MS < self.now_ms =>
@@ -82,7 +83,7 @@
 
     /// Whether a start is unanswered for so long that its answer must have been lost.
     pub(crate) fn is_start_lost(&self, task: &Task) -> bool {
-        task.phase == Phase::Sent && task.moved_ms + START_LOST_MS < self.now_ms
+        task.phase == Phase::Sent && task.last_progress_ms + START_LOST_MS < self.now_ms
     }
 
     fn move_stalled(&mut self, id: TaskId) {
@@ -96,7 +97,7 @@
         let Some(name) = task.worker.clone() else { return };
         let Some(worker) = self.workers.get_mut(&name) else { return };
         // Only later answers of the worker prove that the task has stalled and not the link.
-        if worker.answered_ms < task.moved_ms.max(task.placed_ms) + STALL_MS {
+        if worker.answered_ms < task.last_progress_ms.max(task.placed_ms) + STALL_MS {
             return;
         }
         if gang {
@@ -108,6 +109,6 @@
         let percent = task.percent;
         tracing::warn!(task = %id, worker = %name, percent, "task makes no progress; stopping the run");
         self.stop(id);
-        self.break_gang(id);
+        self.stop_other_members(id);
     }
 }
--- a/crates/pool/src/wakeup.rs
+++ b/crates/pool/src/wakeup.rs
@@ -17,7 +17,7 @@
     /// Tasks that no pending event will advance, each with the reason.
     pub fn tasks_without_wakeup(&self) -> Vec<String> {
         let queued: BTreeSet<StepId> = self.queue.values().copied().collect();
-        let timed: BTreeSet<StepId> = self.timed.iter().map(|(_, step)| *step).collect();
+        let timed: BTreeSet<StepId> = self.not_due.iter().map(|(_, step)| *step).collect();
         let mut stuck = Vec::new();
         for job in self.jobs.values().filter(|job| job.outcome.is_none()) {
             for (unit_index, unit) in job.units.iter().enumerate() {
@@ -45,10 +45,10 @@
             Phase::Waiting if job.is_ready(unit) && !scheduled => {
                 Some("is ready, but its unit is not in the queue")
             }
-            Phase::Reserved if job.units[unit].advice.questions == 0 => {
+            Phase::Reserved if job.units[unit].advice.queries == 0 => {
                 Some("is reserved, but no advisor query for its ticket is pending")
             }
-            Phase::Recorded if !self.commits.holds(job.id) => {
+            Phase::Recorded if !self.commits.has_pending(job.id) => {
                 Some("is recorded, but no write of its row is pending")
             }
             Phase::Sent if self.is_start_lost(task) => Some("was sent, but not answered in time"),
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -139,7 +139,7 @@
     pub fn begin_incarnation(&mut self, incarnation: u64, turn: u64, earlier_lease_expiry_ms: u64) {
         self.incarnation_turn = turn;
         self.earlier_lease_expiry_ms = earlier_lease_expiry_ms;
-        self.info.life = incarnation;
+        self.info.incarnation = incarnation;
         self.incarnations += 1;
         self.lost = false;
         self.held = false;
