--- a/crates/engine/src/catalogue.rs
+++ b/crates/engine/src/catalogue.rs
@@ -184,7 +184,7 @@
             }
         }
         for attempt in moved {
-            self.stop_here(worker, attempt, StopMode::Checkpoint);
+            self.queue_stop(worker, attempt, StopMode::Checkpoint);
         }
     }
 
--- a/crates/engine/src/commit.rs
+++ b/crates/engine/src/commit.rs
@@ -69,7 +69,7 @@
         let first = !job.accepted;
         job.accepted = true;
         if job.leaving {
-            self.left(id);
+            self.on_handed_over(id);
             return;
         }
         let taken_over = job.find_ms.is_some();
@@ -102,7 +102,7 @@
             return;
         };
         self.scheduler.withdraw(id);
-        self.remote.forget(id);
+        self.remote.forget_job(id);
         self.drop_request_of(&job);
         let record: Option<JobRecord> = serde_json::from_str(row).ok();
         let same = record
--- a/crates/engine/src/held.rs
+++ b/crates/engine/src/held_worker.rs
@@ -12,7 +12,7 @@
 
 /// One worker that is held.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct HeldWorker {
     /// The token under which it is held.
     pub(crate) token: Token,
     /// Tasks that the worker knows.
@@ -42,7 +42,7 @@
     pub(crate) ended_ms: UnixMs,
 }
 
-impl Held {
+impl HeldWorker {
     pub(crate) fn new(token: Token) -> Self {
         Self {
             token,
--- a/crates/engine/src/adopt.rs
+++ b/crates/engine/src/inquiry.rs
@@ -34,7 +34,7 @@
 const GONE_MARGIN_MS: u64 = 5_000;
 
 impl Engine {
-    pub(crate) fn resolve_doubts(&mut self) {
+    pub(crate) fn resolve_in_doubt(&mut self) {
         let now_ms = self.now_ms;
         let mut due = Vec::new();
         for (id, job) in &self.jobs {
@@ -58,7 +58,7 @@
             return;
         }
         let of = |(_, worker, _): &(AttemptId, WorkerId, Token)| worker.clone();
-        for (peer, attempts) in self.by_daemon(&questions, of) {
+        for (peer, attempts) in self.group_by_daemon(&questions, of) {
             let coordinator = self.me.daemon.clone();
             self.call_peer(PeerOp::Inquire, &peer, PeerCall::Inquire { coordinator, attempts });
         }
@@ -84,9 +84,9 @@
         for (attempt, worker) in attempts {
             let token = tokens.get(&attempt.task).copied().unwrap_or(0);
             if let Some(seen) = self.seen_here(attempt, &worker, token) {
-                self.on_seen(attempt, &worker, seen);
+                self.on_observation(attempt, &worker, seen);
             } else if self.is_gone(&worker) {
-                self.on_seen(attempt, &worker, Seen::Forgotten);
+                self.on_observation(attempt, &worker, Seen::Forgotten);
             } else {
                 questions.push((attempt, worker, token));
             }
@@ -110,7 +110,7 @@
         }
         // Without its room and its promise it cannot be started any more.
         self.remote.withdraw_promise(attempt);
-        self.not_started(attempt);
+        self.release_unstarted(attempt);
         Some(Seen::Absent)
     }
 
@@ -140,7 +140,7 @@
 
     pub(crate) fn on_task_replies(&mut self, replies: Vec<TaskReply>) {
         for reply in replies {
-            self.on_seen(reply.attempt, &reply.worker, reply.seen);
+            self.on_observation(reply.attempt, &reply.worker, reply.seen);
         }
     }
 
@@ -218,7 +218,7 @@
     }
 
     /// Things about workers, for each daemon that may hold some of those workers.
-    pub(crate) fn by_daemon<T: Clone>(
+    pub(crate) fn group_by_daemon<T: Clone>(
         &self,
         things: &[T],
         worker_of: impl Fn(&T) -> WorkerId,
@@ -289,7 +289,7 @@
         mode: StopMode,
     ) -> PeerReply {
         for (attempt, worker) in attempts {
-            self.stop_here(worker, *attempt, mode);
+            self.queue_stop(worker, *attempt, mode);
         }
         PeerReply::Noted
     }
--- a/crates/engine/src/jobs.rs
+++ b/crates/engine/src/jobs.rs
@@ -148,7 +148,7 @@
         let mut evicted = 0;
         for task in &tasks {
             for victim in &task.evict {
-                self.stop_here(&task.worker, *victim, StopMode::Checkpoint);
+                self.queue_stop(&task.worker, *victim, StopMode::Checkpoint);
                 evicted += 1;
             }
             match self.holdings.token(self.now_ms, &task.worker) {
@@ -194,7 +194,8 @@
                 continue;
             };
             let local = self.scheduler.cell.running(*attempt).map(|running| running.demand);
-            let demand = local.or_else(|| self.remote.demand_of(*attempt)).unwrap_or(record.demand);
+            let demand =
+                local.or_else(|| self.remote.reserved_demand(*attempt)).unwrap_or(record.demand);
             let start = StartTask {
                 attempt: *attempt,
                 demand,
@@ -209,16 +210,16 @@
         for (worker, start) in starts {
             let attempt = start.attempt;
             if self.remote.is_reserved(attempt) {
-                self.remote.start(worker, start);
-            } else if !self.start_here(&worker, start) {
+                self.remote.queue_start(worker, start);
+            } else if !self.queue_start(&worker, start) {
                 absent.push((attempt, worker));
             }
         }
         self.send_remote_starts();
         // The worker was lost before the start was sent, so it did not start.
         for (attempt, worker) in absent {
-            self.not_started(attempt);
-            self.on_seen(attempt, &worker, Seen::Absent);
+            self.release_unstarted(attempt);
+            self.on_observation(attempt, &worker, Seen::Absent);
         }
     }
 
@@ -232,7 +233,7 @@
         }
         let mut elsewhere = Vec::new();
         for (attempt, worker) in stops {
-            if !self.stop_here(&worker, attempt, StopMode::Stop) {
+            if !self.queue_stop(&worker, attempt, StopMode::Stop) {
                 elsewhere.push((attempt, worker));
             }
         }
@@ -241,7 +242,7 @@
         }
         // Only the holder of each worker acts on it.
         let of = |(_, worker): &(AttemptId, WorkerId)| worker.clone();
-        for (peer, attempts) in self.by_daemon(&elsewhere, of) {
+        for (peer, attempts) in self.group_by_daemon(&elsewhere, of) {
             let call = PeerCall::Stop { attempts, mode: StopMode::Stop };
             self.call_peer(PeerOp::Notice, &peer, call);
         }
@@ -253,14 +254,14 @@
             return;
         };
         self.scheduler.withdraw(id);
-        self.remote.forget(id);
+        self.remote.forget_job(id);
         let view = job.machine.view(Vec::new());
         for (ticket, _) in job.waiters.iter().chain(&job.accepting) {
             self.answer_job(*ticket, Ok(view.clone()));
         }
         let attempts = job.machine.attempts_with_workers();
         self.remember(view);
-        self.end_orphans(id);
+        self.clean_up_job_tasks(id);
         self.acknowledge_elsewhere(attempts);
     }
 
@@ -271,7 +272,7 @@
         }
         let attempts: Vec<(AttemptId, WorkerId)> = attempts.into_iter().collect();
         let of = |(_, worker): &(AttemptId, WorkerId)| worker.clone();
-        for (peer, attempts) in self.by_daemon(&attempts, of) {
+        for (peer, attempts) in self.group_by_daemon(&attempts, of) {
             self.call_peer(PeerOp::Notice, &peer, PeerCall::Acknowledge { attempts });
         }
     }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -5,30 +5,30 @@
 //! numbers, so tests replay any schedule of failures by feeding it the same
 //! events. A thin shell carries the effects out and feeds the results back.
 //!
-//! The modules follow the duties of a daemon: [`holders`](crate) keeps leases
+//! The modules follow the duties of a daemon: [`worker_leases`](crate) keeps leases
 //! on workers, `jobs` runs accepted work, `requests` answers through minions,
 //! `sweep` takes over what dead daemons left, `peers` talks to the others.
 
-mod adopt;
 mod catalogue;
 mod commit;
 mod dump;
-mod held;
-mod holders;
+mod gangs;
+mod held_worker;
+mod inquiry;
 mod jobs;
 mod lookup;
 mod message;
-mod news;
+mod observations;
 mod ops;
 mod peers;
 mod remote;
 mod requests;
 mod seal;
-mod seen;
-mod stop;
+mod shutdown;
 mod submit;
 mod sweep;
-mod wide;
+mod worker_leases;
+mod zone_relay;
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -53,10 +53,10 @@
 use stoatwell_settings::Settings;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::held::Held;
+use crate::held_worker::HeldWorker;
 use crate::jobs::Job;
 use crate::ops::Ops;
-use crate::peers::Telling;
+use crate::peers::Announcements;
 use crate::peers::ZoneState;
 use crate::remote::Remote;
 use crate::requests::Request;
@@ -104,7 +104,7 @@
 
     members: Members,
     zones: BTreeMap<ZoneName, ZoneState>,
-    telling: Telling,
+    telling: Announcements,
     next_heartbeat_ms: UnixMs,
     next_relay_ms: UnixMs,
     next_list_ms: UnixMs,
@@ -114,7 +114,7 @@
     gone: BTreeMap<WorkerId, UnixMs>,
 
     holdings: Holdings,
-    held: BTreeMap<WorkerId, Held>,
+    held: BTreeMap<WorkerId, HeldWorker>,
     remote: Remote,
 
     leases_checked_ms: UnixMs,
@@ -166,7 +166,7 @@
             retargeting: BTreeMap::new(),
             members,
             zones: BTreeMap::new(),
-            telling: Telling::default(),
+            telling: Announcements::default(),
             next_heartbeat_ms: 0,
             next_relay_ms: 0,
             next_list_ms: 0,
@@ -254,17 +254,17 @@
 
     fn on_tick(&mut self) {
         self.poll_catalogue();
-        self.beat();
-        self.read_list();
+        self.send_heartbeats();
+        self.read_instance_list();
         self.renew_leases();
         self.expire_waiters();
         self.expire_requests();
-        self.resolve_doubts();
+        self.resolve_in_doubt();
         self.empty_targets();
-        self.report_to_coordinators();
+        self.send_reports();
         self.sweep_tick();
-        self.reach_out();
-        self.advance_stop();
+        self.reserve_at_peers();
+        self.advance_shutdown();
         self.schedule_due = true;
         self.calls_due = true;
     }
@@ -280,7 +280,7 @@
         self.serve_waiting_requests();
         if self.calls_due {
             self.calls_due = false;
-            self.call_workers();
+            self.send_worker_calls();
         }
         self.commit();
     }
--- a/crates/engine/src/seen.rs
+++ b/crates/engine/src/observations.rs
@@ -15,7 +15,7 @@
 
 impl Engine {
     /// What the holder of a worker saw of a task.
-    pub(crate) fn tell(
+    pub(crate) fn notify_coordinator(
         &mut self,
         attempt: AttemptId,
         worker: &WorkerId,
@@ -23,14 +23,19 @@
         seen: Seen,
     ) {
         if *coordinator == self.me.daemon {
-            self.on_seen(attempt, worker, seen);
+            self.on_observation(attempt, worker, seen);
             return;
         }
         self.remote.report(coordinator, attempt, worker, seen);
     }
 
     /// Takes what was seen of a task of a job that runs here; says whether it does.
-    pub(crate) fn on_seen(&mut self, attempt: AttemptId, worker: &WorkerId, seen: Seen) -> bool {
+    pub(crate) fn on_observation(
+        &mut self,
+        attempt: AttemptId,
+        worker: &WorkerId,
+        seen: Seen,
+    ) -> bool {
         let one = BTreeMap::from([(attempt, worker.clone())]);
         let Some(job) = self.jobs.get(&attempt.job) else {
             return self.on_seen_of_finished(attempt, worker, &seen);
@@ -73,7 +78,7 @@
     pub(crate) fn end_earlier_try(&mut self, attempt: AttemptId, worker: &WorkerId, seen: &Seen) {
         match seen {
             Seen::State(TaskState::Running) => {
-                self.stop_here(worker, attempt, StopMode::Stop);
+                self.queue_stop(worker, attempt, StopMode::Stop);
             }
             Seen::State(_) => self.acknowledge(&BTreeMap::from([(attempt, worker.clone())])),
             Seen::Absent | Seen::Pending | Seen::Forgotten => {}
--- a/crates/engine/src/peers.rs
+++ b/crates/engine/src/peers.rs
@@ -46,7 +46,7 @@
 
 /// What was told to whom, so that only what changed is told again.
 #[derive(Debug, Default)]
-pub(crate) struct Telling {
+pub(crate) struct Announcements {
     pub(crate) summary: Summary,
     pub(crate) changes: u64,
     pub(crate) peers: HashMap<DaemonId, (u64, UnixMs)>,
@@ -55,7 +55,7 @@
     pub(crate) zones: HashMap<ZoneName, (u64, UnixMs)>,
 }
 
-impl Telling {
+impl Announcements {
     /// The summary, if this daemon has not been told it or only long ago.
     fn summary_for(&mut self, now_ms: UnixMs, daemon: &DaemonId) -> Option<Summary> {
         let (told, told_ms) = self.peers.get(daemon).copied().unwrap_or_default();
@@ -77,7 +77,7 @@
 }
 
 impl Engine {
-    pub(crate) fn beat(&mut self) {
+    pub(crate) fn send_heartbeats(&mut self) {
         let now_ms = self.now_ms;
         if now_ms >= self.next_heartbeat_ms {
             self.next_heartbeat_ms = now_ms + self.settings.membership.heartbeat_ms;
@@ -231,7 +231,7 @@
         }
     }
 
-    pub(crate) fn read_list(&mut self) {
+    pub(crate) fn read_instance_list(&mut self) {
         if self.listing || self.now_ms < self.next_list_ms {
             return;
         }
@@ -339,7 +339,11 @@
     }
 
     /// A daemon elsewhere that has this much free for an owner, nearest first.
-    pub(crate) fn find_room(&self, owner: &OwnerName, need: &Resources) -> Option<DaemonId> {
+    pub(crate) fn find_peer_with_capacity(
+        &self,
+        owner: &OwnerName,
+        need: &Resources,
+    ) -> Option<DaemonId> {
         let offers = |summary: &Summary| {
             summary
                 .owners
@@ -359,7 +363,11 @@
     /// A daemon elsewhere whose minions of this group have a free slot. For an
     /// owner that values little control traffic above short waits it is one of
     /// this region: what crosses regions is paid.
-    pub(crate) fn find_minions(&self, group: &str, owner: &OwnerName) -> Option<DaemonId> {
+    pub(crate) fn find_peer_with_minions(
+        &self,
+        group: &str,
+        owner: &OwnerName,
+    ) -> Option<DaemonId> {
         let free = |summary: &Summary| {
             let found = summary.groups.iter().find(|found| found.group == group);
             found.map_or(0, |found| found.free_slots)
--- a/crates/engine/src/remote.rs
+++ b/crates/engine/src/remote.rs
@@ -94,12 +94,12 @@
         self.reserved.contains_key(&attempt)
     }
 
-    pub(crate) fn demand_of(&self, attempt: AttemptId) -> Option<Resources> {
+    pub(crate) fn reserved_demand(&self, attempt: AttemptId) -> Option<Resources> {
         self.reserved.get(&attempt).map(|(_, reservation)| reservation.demand)
     }
 
     /// Queues a start on room that another daemon set aside.
-    pub(crate) fn start(&mut self, worker: WorkerId, start: StartTask) {
+    pub(crate) fn queue_start(&mut self, worker: WorkerId, start: StartTask) {
         if let Some((holder, reservation)) = self.reserved.remove(&start.attempt) {
             self.starts.entry(holder).or_default().push((worker, reservation.token, start));
         }
@@ -110,7 +110,7 @@
         self.promised.remove(&attempt);
     }
 
-    pub(crate) fn forget(&mut self, job: JobId) {
+    pub(crate) fn forget_job(&mut self, job: JobId) {
         self.asking.remove(&job);
         self.gangs.remove(&job);
         self.reserved.retain(|attempt, _| attempt.job != job);
@@ -133,7 +133,7 @@
 
 impl Engine {
     /// Asks other daemons of the zone for room where this one has too little.
-    pub(crate) fn reach_out(&mut self) {
+    pub(crate) fn reserve_at_peers(&mut self) {
         let now_ms = self.now_ms;
         self.take_back_promises();
         self.reclaim_room();
@@ -261,7 +261,7 @@
     pub(crate) fn on_unreserve(&mut self, attempts: &[AttemptId]) -> PeerReply {
         for attempt in attempts {
             if self.remote.promised.remove(attempt).is_some() {
-                self.not_started(*attempt);
+                self.release_unstarted(*attempt);
             }
         }
         PeerReply::Noted
@@ -285,7 +285,7 @@
             }
         }
         for attempt in unused {
-            self.not_started(attempt);
+            self.release_unstarted(attempt);
         }
     }
 
@@ -299,7 +299,7 @@
             *until_ms > now_ms
         });
         for attempt in over {
-            self.not_started(attempt);
+            self.release_unstarted(attempt);
         }
     }
 
@@ -367,21 +367,21 @@
             let current = self.held.get(&worker).is_some_and(|held| held.token == token);
             // Room that went back may be somebody else's now, and under another
             // token the intent names a lease that is over.
-            if promised && current && self.start_here(&worker, start) {
+            if promised && current && self.queue_start(&worker, start) {
                 continue;
             }
             if current {
-                self.tell(attempt, &worker, &coordinator, Seen::Absent);
+                self.notify_coordinator(attempt, &worker, &coordinator, Seen::Absent);
             }
             if promised {
-                self.not_started(attempt);
+                self.release_unstarted(attempt);
             }
         }
         PeerReply::Noted
     }
 
     /// Tells other daemons what was seen of their tasks.
-    pub(crate) fn report_to_coordinators(&mut self) {
+    pub(crate) fn send_reports(&mut self) {
         let now_ms = self.now_ms;
         let mut calls = Vec::new();
         for (to, reports) in &mut self.remote.outbox {
@@ -425,7 +425,7 @@
         let mut unknown = Vec::new();
         for (attempt, worker, seen) in reports {
             let ended = matches!(&seen, Seen::State(state) if !state.is_running());
-            if !self.on_seen(attempt, &worker, seen) {
+            if !self.on_observation(attempt, &worker, seen) {
                 unknown.push(attempt);
                 continue;
             }
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -246,7 +246,7 @@
                     self.end_request(number, outcome);
                 }
             }
-            Ok(MinionReply::Running) | Err(_) if recorded => self.on_unknown(number),
+            Ok(MinionReply::Running) | Err(_) if recorded => self.on_request_unanswered(number),
             Ok(MinionReply::Running) | Err(_) => {
                 if !self.try_again(number) {
                     let detail =
--- a/crates/engine/src/seal.rs
+++ b/crates/engine/src/seal.rs
@@ -21,7 +21,7 @@
 impl Engine {
     /// A recorded request went without an answer: it is not sent again, the
     /// callers learn at once that nothing is known, and the minion is asked.
-    pub(crate) fn on_unknown(&mut self, number: u64) {
+    pub(crate) fn on_request_unanswered(&mut self, number: u64) {
         let Some(request) = self.requests.remove(&number) else {
             return;
         };
--- a/crates/engine/src/stop.rs
+++ b/crates/engine/src/shutdown.rs
@@ -20,7 +20,7 @@
         self.on_tick();
     }
 
-    pub(crate) fn advance_stop(&mut self) {
+    pub(crate) fn advance_shutdown(&mut self) {
         if !self.stopping || self.stopped {
             return;
         }
@@ -65,7 +65,7 @@
     }
 
     /// The record names the successor now.
-    pub(crate) fn left(&mut self, id: JobId) {
+    pub(crate) fn on_handed_over(&mut self, id: JobId) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
         };
--- a/crates/engine/src/submit.rs
+++ b/crates/engine/src/submit.rs
@@ -173,7 +173,7 @@
         let demand = admitted.submission.demand.unwrap_or(admitted.entry.task);
         let here = self.scheduler.cell.could_fit(&admitted.entry.owner, &demand);
         if may_forward && !here {
-            let target = self.find_room(&admitted.entry.owner, &demand);
+            let target = self.find_peer_with_capacity(&admitted.entry.owner, &demand);
             if let Some(daemon) = target
                 && self.forward(ticket, caller, &admitted, wait_ms, &daemon)
             {
@@ -272,7 +272,7 @@
         wait_ms: u64,
     ) -> bool {
         let group = admitted.entry.minions.clone().unwrap_or_default();
-        let Some(daemon) = self.find_minions(&group, &admitted.entry.owner) else {
+        let Some(daemon) = self.find_peer_with_minions(&group, &admitted.entry.owner) else {
             return false;
         };
         self.forward(ticket, caller, admitted, wait_ms, &daemon)
--- a/crates/engine/src/sweep.rs
+++ b/crates/engine/src/sweep.rs
@@ -278,9 +278,9 @@
                 Some(record) if record.outcome.is_none() => self.keep_ended(*job),
                 Some(record) => {
                     self.remember(view_of_record(record, Vec::new()));
-                    self.end_orphans(*job);
+                    self.clean_up_job_tasks(*job);
                 }
-                None => self.end_orphans(*job),
+                None => self.clean_up_job_tasks(*job),
             }
         }
     }
@@ -296,7 +296,7 @@
     }
 
     /// Lets the workers held here forget a job's tasks, and stops what still runs for it.
-    pub(crate) fn end_orphans(&mut self, job: JobId) {
+    pub(crate) fn clean_up_job_tasks(&mut self, job: JobId) {
         let mut ended: BTreeMap<AttemptId, WorkerId> = BTreeMap::new();
         let mut running = Vec::new();
         for (worker, held) in &self.held {
@@ -309,7 +309,7 @@
             }
         }
         for (worker, attempt) in running {
-            self.stop_here(&worker, attempt, StopMode::Stop);
+            self.queue_stop(&worker, attempt, StopMode::Stop);
         }
         self.acknowledge(&ended);
     }
--- a/crates/engine/src/holders.rs
+++ b/crates/engine/src/worker_leases.rs
@@ -29,8 +29,8 @@
 use stoatwell_platform::WorkerReply;
 
 use crate::Engine;
-use crate::held::Held;
-use crate::held::Known;
+use crate::held_worker::HeldWorker;
+use crate::held_worker::Known;
 use crate::message::OpId;
 use crate::message::Seen;
 use crate::ops::WorkerOp;
@@ -155,7 +155,7 @@
     fn gain_worker(&mut self, state: &WorkerState) {
         let worker = &state.worker;
         self.drop_worker(worker);
-        self.held.insert(worker.clone(), Held::new(state.token));
+        self.held.insert(worker.clone(), HeldWorker::new(state.token));
         let target = self.catalogue.target(worker).cloned();
         self.scheduler.put_worker(self.now_ms, state, target.as_ref());
         self.minions.put_worker(worker, &state.minions);
@@ -177,7 +177,7 @@
         // What was never sent surely did not start. What was sent without an
         // answer is asked of the next holder.
         for start in held.starts {
-            self.tell(start.attempt, worker, &start.coordinator, Seen::Absent);
+            self.notify_coordinator(start.attempt, worker, &start.coordinator, Seen::Absent);
         }
         self.shares_due = true;
     }
@@ -213,7 +213,7 @@
         } else {
             self.count_ended(worker, attempt, &report.state);
         }
-        self.tell(attempt, worker, &coordinator, Seen::State(report.state.clone()));
+        self.notify_coordinator(attempt, worker, &coordinator, Seen::State(report.state.clone()));
     }
 
     fn count_running(&mut self, worker: &WorkerId, report: &TaskReport) {
@@ -223,7 +223,7 @@
         self.scheduler.adopt(report.attempt, running);
         let victims = self.scheduler.record_usage(self.now_ms, report.attempt, &report.usage);
         for victim in victims {
-            self.stop_here(worker, victim, StopMode::Checkpoint);
+            self.queue_stop(worker, victim, StopMode::Checkpoint);
         }
     }
 
@@ -263,7 +263,7 @@
     /// Queues a start on a worker that is held here. Only what has room set
     /// aside starts: room that was given to urgent work meanwhile, or to nobody
     /// because the attempt was told as never to start, would be used twice.
-    pub(crate) fn start_here(&mut self, worker: &WorkerId, start: StartTask) -> bool {
+    pub(crate) fn queue_start(&mut self, worker: &WorkerId, start: StartTask) -> bool {
         let running = self.scheduler.cell.running(start.attempt);
         if running.is_none_or(|running| running.worker != *worker) {
             return false;
@@ -281,7 +281,7 @@
     }
 
     /// Queues a stop on a worker that is held here.
-    pub(crate) fn stop_here(
+    pub(crate) fn queue_stop(
         &mut self,
         worker: &WorkerId,
         attempt: AttemptId,
@@ -294,8 +294,8 @@
         // Not sent yet, so it is simply left out.
         if let Some(index) = held.starts.iter().position(|start| start.attempt == attempt) {
             let start = held.starts.remove(index);
-            self.not_started(attempt);
-            self.tell(attempt, worker, &start.coordinator, Seen::Absent);
+            self.release_unstarted(attempt);
+            self.notify_coordinator(attempt, worker, &start.coordinator, Seen::Absent);
             return true;
         }
         let already = held.stops.iter().any(|(other, _)| *other == attempt);
@@ -305,13 +305,13 @@
         true
     }
 
-    pub(crate) fn not_started(&mut self, attempt: AttemptId) {
+    pub(crate) fn release_unstarted(&mut self, attempt: AttemptId) {
         self.scheduler.release_unstarted(self.now_ms, attempt);
         self.schedule_due = true;
     }
 
     /// Sends what waits for each worker, one call at a time.
-    pub(crate) fn call_workers(&mut self) {
+    pub(crate) fn send_worker_calls(&mut self) {
         let mut ready = Vec::new();
         for (worker, held) in &self.held {
             if !held.calling && held.has_work() && held.not_before_ms <= self.now_ms {
@@ -396,12 +396,17 @@
                     coordinator: start.coordinator.clone(),
                     ended_ms: 0,
                 });
-                self.tell(attempt, worker, &start.coordinator, Seen::State(TaskState::Running));
+                self.notify_coordinator(
+                    attempt,
+                    worker,
+                    &start.coordinator,
+                    Seen::State(TaskState::Running),
+                );
             }
             StartReply::Refused { .. } => {
                 held.not_before_ms = self.now_ms + RETRY_MS;
-                self.not_started(attempt);
-                self.tell(attempt, worker, &start.coordinator, Seen::Absent);
+                self.release_unstarted(attempt);
+                self.notify_coordinator(attempt, worker, &start.coordinator, Seen::Absent);
             }
         }
     }
