--- a/crates/engine/src/catalogue.rs
+++ b/crates/engine/src/catalogue.rs
@@ -201,7 +201,7 @@
                 continue;
             };
             let leaves = target.state == TargetState::Draining && target.next_owner.is_some();
-            let empty = held.is_empty() && self.minions.in_use_on(worker) == 0;
+            let empty = held.is_idle() && self.minions.in_use_on(worker) == 0;
             if leaves && empty && !self.retargeting.contains_key(worker) {
                 emptied.push((worker.clone(), versioned.revision));
             }
--- a/crates/engine/src/gangs.rs
+++ b/crates/engine/src/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs that are wider than one holder.
+//! Gangs whose tasks need the workers of several daemons.
 
 use std::collections::BTreeMap;
 
@@ -13,9 +13,12 @@
 use crate::remote::Gang;
 
 impl Engine {
-    /// A gang that no single holder can take gathers room at all of them, in
-    /// one order and for a bounded time, and gives all back if any is missing.
-    pub(crate) fn gather_gang(&mut self, waiting: &WaitingJob) -> bool {
+    /// Reserves capacity for a gang that does not fit on the workers of one daemon:
+    /// first here, then at the other daemons of the zone, one after the other. Every
+    /// gang uses the same order and keeps its reservations for a bounded time only;
+    /// all are released if a task stays unplaced. Returns `false` if there is no
+    /// other live daemon in the zone.
+    pub(crate) fn reserve_gang(&mut self, waiting: &WaitingJob) -> bool {
         let mut peers = self.zone_peers();
         peers.sort();
         if peers.is_empty() {
@@ -24,11 +27,11 @@
         let attempts = self.scheduler.withdraw(waiting.job);
         let mut placed = Vec::new();
         for attempt in &attempts {
-            let Some(found) = self.scheduler.place_task(self.now_ms, waiting, *attempt) else {
+            let Some(placement) = self.scheduler.place_task(self.now_ms, waiting, *attempt) else {
                 break;
             };
-            if let Some(token) = self.holdings.token(self.now_ms, &found.worker) {
-                placed.push((*attempt, found.worker, token));
+            if let Some(token) = self.holdings.token(self.now_ms, &placement.worker) {
+                placed.push((*attempt, placement.worker, token));
             } else {
                 self.scheduler.release_unstarted(self.now_ms, *attempt);
                 break;
@@ -39,6 +42,8 @@
         true
     }
 
+    /// Starts the gang if every task has a reservation, otherwise asks the next
+    /// daemon, or releases the gang if all daemons were asked.
     pub(crate) fn advance_gang(&mut self, id: JobId) {
         let Some(mut gang) = self.remote.gangs.remove(&id) else {
             return;
@@ -49,7 +54,7 @@
             return;
         }
         if gang.peers.is_empty() {
-            self.disband(id, gang);
+            self.release_gang(id, gang);
             return;
         }
         let holder = gang.peers.remove(0);
@@ -60,15 +65,16 @@
         }
     }
 
-    pub(crate) fn disband(&mut self, id: JobId, gang: Gang) {
-        let mut elsewhere: BTreeMap<DaemonId, Vec<AttemptId>> = BTreeMap::new();
+    /// Gives back all reservations of a gang and queues its tasks again.
+    pub(crate) fn release_gang(&mut self, id: JobId, gang: Gang) {
+        let mut by_holder: BTreeMap<DaemonId, Vec<AttemptId>> = BTreeMap::new();
         for (attempt, _, _) in &gang.placed {
-            match self.remote.reserved.remove(attempt) {
-                Some((holder, _)) => elsewhere.entry(holder).or_default().push(*attempt),
+            match self.remote.peer_reservations.remove(attempt) {
+                Some((holder, _)) => by_holder.entry(holder).or_default().push(*attempt),
                 None => self.scheduler.release_unstarted(self.now_ms, *attempt),
             }
         }
-        for (holder, attempts) in elsewhere {
+        for (holder, attempts) in by_holder {
             self.call_peer(PeerOp::Notice, &holder, PeerCall::Unreserve { attempts });
         }
         self.enqueue(id, gang.attempts);
--- a/crates/engine/src/held_worker.rs
+++ b/crates/engine/src/held_worker.rs
@@ -1,4 +1,4 @@
-//! What the holder of one worker keeps of it.
+//! State that the lease holder keeps for each worker.
 
 use std::collections::BTreeMap;
 
@@ -10,35 +10,35 @@
 use stoatwell_model::worker::TaskState;
 use stoatwell_model::worker::Token;
 
-/// One worker that is held.
+/// A worker on which this daemon holds the lease.
 #[derive(Debug)]
 pub(crate) struct HeldWorker {
-    /// The token under which it is held.
+    /// The fencing token of the lease.
     pub(crate) token: Token,
-    /// Tasks that the worker knows.
-    pub(crate) tasks: BTreeMap<AttemptId, Known>,
-    /// Starts that were never sent.
-    pub(crate) starts: Vec<StartTask>,
-    /// Starts that were sent without an answer yet.
-    pub(crate) sent: BTreeMap<AttemptId, StartTask>,
-    /// Stops to send.
+    /// Tasks that the worker runs or has run and not yet forgotten.
+    pub(crate) tasks: BTreeMap<AttemptId, TrackedTask>,
+    /// Starts that have not been sent yet.
+    pub(crate) unsent_starts: Vec<StartTask>,
+    /// Starts that were sent and not yet answered; the next call repeats them.
+    pub(crate) unanswered_starts: BTreeMap<AttemptId, StartTask>,
+    /// Stops that have yet to be sent.
     pub(crate) stops: Vec<(AttemptId, StopMode)>,
-    /// Attempts that the worker may forget.
+    /// Ended attempts that the next lease renewal allows the worker to forget.
     pub(crate) acks: Vec<AttemptId>,
-    /// Whether a start or a stop is on its way.
-    pub(crate) calling: bool,
-    /// No start or stop before this time.
+    /// Whether a start or stop call awaits its reply.
+    pub(crate) call_in_flight: bool,
+    /// Earliest time of the next start or stop call; set after a failed one.
     pub(crate) not_before_ms: UnixMs,
 }
 
-/// One task that the worker knows.
+/// A task on a held worker, running or ended.
 #[derive(Clone, Debug)]
-pub(crate) struct Known {
-    /// How far it is.
+pub(crate) struct TrackedTask {
+    /// The state last reported by the worker.
     pub(crate) state: TaskState,
-    /// Who hears of it.
+    /// The daemon that runs its job and receives the reports about it.
     pub(crate) coordinator: DaemonId,
-    /// When it was first seen to have ended; 0 while it runs.
+    /// When it was first observed to have ended; 0 while it runs.
     pub(crate) ended_ms: UnixMs,
 }
 
@@ -47,30 +47,32 @@
         Self {
             token,
             tasks: BTreeMap::new(),
-            starts: Vec::new(),
-            sent: BTreeMap::new(),
+            unsent_starts: Vec::new(),
+            unanswered_starts: BTreeMap::new(),
             stops: Vec::new(),
             acks: Vec::new(),
-            calling: false,
+            call_in_flight: false,
             not_before_ms: 0,
         }
     }
 
-    /// Whether nothing runs or is about to.
-    pub(crate) fn is_empty(&self) -> bool {
-        let runs = self.tasks.values().any(|known| known.state.is_running());
-        !runs && self.starts.is_empty() && self.sent.is_empty()
+    /// Whether no task runs and no start is queued or unanswered.
+    pub(crate) fn is_idle(&self) -> bool {
+        let running = self.tasks.values().any(|task| task.state.is_running());
+        !running && self.unsent_starts.is_empty() && self.unanswered_starts.is_empty()
     }
 
-    /// Whether a call is on its way or waits to be sent.
-    pub(crate) fn has_work(&self) -> bool {
-        !self.starts.is_empty() || !self.stops.is_empty() || !self.sent.is_empty()
+    /// Whether starts or stops have to be sent, or sent again.
+    pub(crate) fn has_pending_calls(&self) -> bool {
+        !self.unsent_starts.is_empty()
+            || !self.stops.is_empty()
+            || !self.unanswered_starts.is_empty()
     }
 
-    /// Whether an attempt is known or on its way.
-    pub(crate) fn knows(&self, attempt: AttemptId) -> bool {
+    /// Whether the worker has the attempt, or a start for it is queued or unanswered.
+    pub(crate) fn has_attempt(&self, attempt: AttemptId) -> bool {
         self.tasks.contains_key(&attempt)
-            || self.sent.contains_key(&attempt)
-            || self.starts.iter().any(|start| start.attempt == attempt)
+            || self.unanswered_starts.contains_key(&attempt)
+            || self.unsent_starts.iter().any(|start| start.attempt == attempt)
     }
 }
--- a/crates/engine/src/inquiry.rs
+++ b/crates/engine/src/inquiry.rs
@@ -1,9 +1,9 @@
-//! Finding out what became of tasks: doubts, inquiries and lost workers.
+//! Inquiries about the state of tasks, and detection of lost workers.
 //!
-//! An attempt is in doubt when its start may have been sent and nothing was
-//! heard of it. Whoever holds its worker can tell: the worker named it, or a
-//! newer token than the one of its intent is in force, under which it can
-//! never start any more.
+//! An attempt is in doubt if its start may have been sent and no report about it
+//! has arrived. The daemon that holds the lease on its worker can resolve the
+//! doubt: either the worker reports the attempt, or a newer fencing token than
+//! that of the attempt's intent is in force, under which it can never start.
 
 use std::collections::BTreeMap;
 
@@ -26,14 +26,15 @@
 use crate::ops::PeerOp;
 use crate::sweep::attempts_of;
 
-/// Between questions about attempts of which nothing was heard.
-const DOUBT_MS: u64 = 1_000;
-/// Between questions about tasks that run on workers of other daemons.
-const CHECK_MS: u64 = 10_000;
-/// Added to the time after which a worker that is gone has surely stopped everything.
+/// Interval between inquiries about attempts in doubt.
+const IN_DOUBT_INQUIRY_MS: u64 = 1_000;
+/// Interval between inquiries about tasks that run on workers of other daemons.
+const RUNNING_INQUIRY_MS: u64 = 10_000;
+/// Safety margin on top of the time after which a lost worker must have stopped all tasks.
 const GONE_MARGIN_MS: u64 = 5_000;
 
 impl Engine {
+    /// Inquires about the attempts of all jobs that are due for it.
     pub(crate) fn resolve_in_doubt(&mut self) {
         let now_ms = self.now_ms;
         let mut due = Vec::new();
@@ -42,7 +43,7 @@
                 due.push(*id);
             }
         }
-        let mut questions = Vec::new();
+        let mut inquiries = Vec::new();
         for id in due {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
@@ -51,21 +52,22 @@
                 self.seal_request(id);
                 continue;
             }
-            self.look_for(id);
-            self.question(id, &mut questions);
+            self.find_job_tasks(id);
+            self.collect_inquiries(id, &mut inquiries);
         }
-        if questions.is_empty() {
+        if inquiries.is_empty() {
             return;
         }
-        let of = |(_, worker, _): &(AttemptId, WorkerId, Token)| worker.clone();
-        for (peer, attempts) in self.group_by_daemon(&questions, of) {
+        let worker_of = |(_, worker, _): &(AttemptId, WorkerId, Token)| worker.clone();
+        for (peer, attempts) in self.group_by_daemon(&inquiries, worker_of) {
             let coordinator = self.me.daemon.clone();
             self.call_peer(PeerOp::Inquire, &peer, PeerCall::Inquire { coordinator, attempts });
         }
     }
 
-    /// Answers from what is known here, and collects what others must be asked.
-    fn question(&mut self, id: JobId, questions: &mut Vec<(AttemptId, WorkerId, Token)>) {
+    /// Resolves the job's attempts on workers held here and on lost workers, and
+    /// collects the others in `inquiries`.
+    fn collect_inquiries(&mut self, id: JobId, inquiries: &mut Vec<(AttemptId, WorkerId, Token)>) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -73,9 +75,10 @@
         if job.find_ms.is_some() || job.finding > 0 {
             return;
         }
-        let doubtful = job.machine.in_doubt();
-        job.inquire_ms = now_ms + if doubtful.is_empty() { CHECK_MS } else { DOUBT_MS };
-        let mut attempts = doubtful;
+        let in_doubt = job.machine.in_doubt();
+        job.inquire_ms =
+            now_ms + if in_doubt.is_empty() { RUNNING_INQUIRY_MS } else { IN_DOUBT_INQUIRY_MS };
+        let mut attempts = in_doubt;
         attempts.extend(job.machine.active());
         let mut tokens = BTreeMap::new();
         for intent in &job.machine.record.intents {
@@ -83,33 +86,38 @@
         }
         for (attempt, worker) in attempts {
             let token = tokens.get(&attempt.task).copied().unwrap_or(0);
-            if let Some(seen) = self.seen_here(attempt, &worker, token) {
+            if let Some(seen) = self.observe_attempt(attempt, &worker, token) {
                 self.on_observation(attempt, &worker, seen);
-            } else if self.is_gone(&worker) {
+            } else if self.is_worker_gone(&worker) {
                 self.on_observation(attempt, &worker, Seen::Forgotten);
             } else {
-                questions.push((attempt, worker, token));
+                inquiries.push((attempt, worker, token));
             }
         }
     }
 
-    /// What this daemon, as the holder of a worker, can tell of an attempt.
-    fn seen_here(&mut self, attempt: AttemptId, worker: &WorkerId, token: Token) -> Option<Seen> {
+    /// The state of an attempt, or `None` if this daemon doesn't hold its worker.
+    fn observe_attempt(
+        &mut self,
+        attempt: AttemptId,
+        worker: &WorkerId,
+        token: Token,
+    ) -> Option<Seen> {
         self.holdings.token(self.now_ms, worker)?;
         let held = self.held.get_mut(worker)?;
-        if let Some(known) = held.tasks.get(&attempt) {
-            return Some(Seen::State(known.state.clone()));
+        if let Some(task) = held.tasks.get(&attempt) {
+            return Some(Seen::State(task.state.clone()));
         }
-        if held.knows(attempt) {
+        if held.has_attempt(attempt) {
             return Some(Seen::Pending);
         }
-        // A worker whose token is lower than the intent's was started anew and
-        // remembers nothing; that it does not name the attempt proves nothing.
+        // A worker whose token is lower than the intent's has restarted and lost its
+        // state, so the missing report doesn't prove that the attempt never ran.
         if held.token < token {
             return Some(Seen::Forgotten);
         }
-        // Without its room and its promise it cannot be started any more.
-        self.remote.withdraw_promise(attempt);
+        // Releasing its capacity and its reservation ensures that it cannot start later.
+        self.remote.remove_grant(attempt);
         self.release_unstarted(attempt);
         Some(Seen::Absent)
     }
@@ -121,20 +129,26 @@
     ) -> PeerReply {
         let mut replies = Vec::new();
         for (attempt, worker, token) in attempts {
-            let Some(seen) = self.seen_here(*attempt, worker, *token) else {
+            let Some(seen) = self.observe_attempt(*attempt, worker, *token) else {
                 continue;
             };
-            self.relabel(*attempt, worker, coordinator);
+            self.set_task_coordinator(*attempt, worker, coordinator);
             replies.push(TaskReply { attempt: *attempt, worker: worker.clone(), seen });
         }
         PeerReply::Tasks(replies)
     }
 
-    fn relabel(&mut self, attempt: AttemptId, worker: &WorkerId, coordinator: &DaemonId) {
+    /// Directs further reports about the task to the daemon that runs its job now.
+    fn set_task_coordinator(
+        &mut self,
+        attempt: AttemptId,
+        worker: &WorkerId,
+        coordinator: &DaemonId,
+    ) {
         if let Some(held) = self.held.get_mut(worker)
-            && let Some(known) = held.tasks.get_mut(&attempt)
+            && let Some(task) = held.tasks.get_mut(&attempt)
         {
-            known.coordinator = coordinator.clone();
+            task.coordinator = coordinator.clone();
         }
     }
 
@@ -144,18 +158,18 @@
         }
     }
 
-    /// Asks all daemons of the zone for the tasks of a job that was taken over.
-    fn look_for(&mut self, id: JobId) {
+    /// Asks all daemons of the zone which attempts of a job that was taken over they have.
+    fn find_job_tasks(&mut self, id: JobId) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.find_ms.is_none_or(|at_ms| at_ms > now_ms) {
+        if job.find_ms.is_none_or(|due_ms| due_ms > now_ms) {
             return;
         }
         job.find_ms = None;
         let coordinator = self.me.daemon.clone();
-        let own = self.found_here(&coordinator, id);
+        let own_replies = self.held_attempts_of(&coordinator, id);
         let peers = self.zone_peers();
         if let Some(job) = self.jobs.get_mut(&id) {
             job.finding = peers.len() as u32 + 1;
@@ -163,44 +177,45 @@
         for peer in &peers {
             let call = PeerCall::Find { coordinator: coordinator.clone(), jobs: vec![id] };
             if !self.call_peer(PeerOp::Find(vec![id]), peer, call) {
-                self.found_one(id);
+                self.on_find_answered(id);
             }
         }
-        self.on_found(&[id], Ok(PeerReply::Tasks(own)));
+        self.on_find_reply(&[id], Ok(PeerReply::Tasks(own_replies)));
     }
 
-    /// Attempts of a job on the workers held here.
-    fn found_here(&mut self, coordinator: &DaemonId, id: JobId) -> Vec<TaskReply> {
-        let mut found = Vec::new();
+    /// The job's attempts on workers held here; `coordinator` receives their reports
+    /// from now on.
+    fn held_attempts_of(&mut self, coordinator: &DaemonId, id: JobId) -> Vec<TaskReply> {
+        let mut replies = Vec::new();
         for (worker, held) in &mut self.held {
-            for (attempt, known) in held.tasks.range_mut(attempts_of(id)) {
-                known.coordinator = coordinator.clone();
-                let seen = Seen::State(known.state.clone());
-                found.push(TaskReply { attempt: *attempt, worker: worker.clone(), seen });
+            for (attempt, task) in held.tasks.range_mut(attempts_of(id)) {
+                task.coordinator = coordinator.clone();
+                let seen = Seen::State(task.state.clone());
+                replies.push(TaskReply { attempt: *attempt, worker: worker.clone(), seen });
             }
         }
-        found
+        replies
     }
 
     pub(crate) fn on_find(&mut self, coordinator: &DaemonId, jobs: &[JobId]) -> PeerReply {
         let mut replies = Vec::new();
         for id in jobs {
-            replies.extend(self.found_here(coordinator, *id));
+            replies.extend(self.held_attempts_of(coordinator, *id));
         }
         PeerReply::Tasks(replies)
     }
 
-    pub(crate) fn on_found(&mut self, jobs: &[JobId], reply: Result<PeerReply, CallError>) {
+    pub(crate) fn on_find_reply(&mut self, jobs: &[JobId], reply: Result<PeerReply, CallError>) {
         if let Ok(PeerReply::Tasks(replies)) = reply {
             self.on_task_replies(replies);
         }
         for id in jobs {
-            self.found_one(*id);
+            self.on_find_answered(*id);
         }
     }
 
-    /// One more daemon has answered; after the last one the rest is queued.
-    fn found_one(&mut self, id: JobId) {
+    /// Counts a daemon's answer; after the last one, queues the tasks not found anywhere.
+    fn on_find_answered(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -217,34 +232,35 @@
         }
     }
 
-    /// Things about workers, for each daemon that may hold some of those workers.
+    /// Groups items that each concern one worker by the daemons that may hold it:
+    /// all other live daemons of the worker's zone.
     pub(crate) fn group_by_daemon<T: Clone>(
         &self,
-        things: &[T],
+        items: &[T],
         worker_of: impl Fn(&T) -> WorkerId,
     ) -> BTreeMap<DaemonId, Vec<T>> {
         let mut by_zone: BTreeMap<ZoneName, Vec<T>> = BTreeMap::new();
-        for thing in things {
-            let zone = self.worker_zones.get(&worker_of(thing)).unwrap_or(&self.me.zone);
-            by_zone.entry(zone.clone()).or_default().push(thing.clone());
+        for item in items {
+            let zone = self.worker_zones.get(&worker_of(item)).unwrap_or(&self.me.zone);
+            by_zone.entry(zone.clone()).or_default().push(item.clone());
         }
         let mut by_daemon: BTreeMap<DaemonId, Vec<T>> = BTreeMap::new();
-        for (zone, things) in by_zone {
-            for daemon in self.daemons_of(&zone) {
-                by_daemon.entry(daemon).or_default().extend(things.iter().cloned());
+        for (zone, items) in by_zone {
+            for daemon in self.daemons_in(&zone) {
+                by_daemon.entry(daemon).or_default().extend(items.iter().cloned());
             }
         }
         by_daemon
     }
 
-    /// Whether work may run on workers of other zones. The list of this zone
-    /// does not tell when such a worker is gone for good.
-    pub(crate) fn works_abroad(&self) -> bool {
-        let here = Some(&self.me.zone);
-        self.job_workers().iter().any(|worker| self.worker_zones.get(worker) != here)
+    /// Whether jobs of this daemon may have tasks on workers of other zones. The
+    /// instance list of this zone doesn't show when such a worker is lost.
+    pub(crate) fn has_tasks_in_other_zones(&self) -> bool {
+        let own_zone = Some(&self.me.zone);
+        self.job_workers().iter().any(|worker| self.worker_zones.get(worker) != own_zone)
     }
 
-    /// Workers on which tasks of the jobs that run here may be.
+    /// Workers of the running and in-doubt attempts of this daemon's jobs.
     fn job_workers(&self) -> Vec<WorkerId> {
         let mut workers = Vec::new();
         for job in self.jobs.values() {
@@ -254,9 +270,9 @@
         workers
     }
 
-    /// Remembers since when workers are not on the platform's list any more.
-    /// Only the list of all zones tells so of workers elsewhere.
-    pub(crate) fn note_gone(&mut self, whole: bool) {
+    /// Records since when workers are missing from the platform's instance list.
+    /// Only the list of all zones shows this for workers of other zones.
+    pub(crate) fn record_missing_workers(&mut self, all_zones: bool) {
         let now_ms = self.now_ms;
         let listed = &self.worker_zones;
         self.gone.retain(|worker, _| !listed.contains_key(worker));
@@ -266,7 +282,7 @@
                 missing.push(worker.clone());
             }
         }
-        if whole {
+        if all_zones {
             let workers = self.job_workers();
             missing.extend(workers.into_iter().filter(|worker| !listed.contains_key(worker)));
         }
@@ -275,9 +291,9 @@
         }
     }
 
-    /// Whether a worker is off the platform's list for so long that its lease
-    /// has lapsed and it has stopped, by contract, what must stop then.
-    pub(crate) fn is_gone(&self, worker: &WorkerId) -> bool {
+    /// Whether a worker has been missing from the instance list for so long that its
+    /// lease has expired and it has stopped, by contract, all tasks that must stop then.
+    pub(crate) fn is_worker_gone(&self, worker: &WorkerId) -> bool {
         let leases = &self.settings.leases;
         let wait_ms: UnixMs = leases.ttl_ms + leases.orphan_ms + GONE_MARGIN_MS;
         self.gone.get(worker).is_some_and(|since_ms| self.now_ms >= since_ms + wait_ms)
--- a/crates/engine/src/lookup.rs
+++ b/crates/engine/src/lookup.rs
@@ -1,4 +1,4 @@
-//! Questions about jobs: how they are, and cancelling them, wherever they run.
+//! Status and cancellation of jobs, on whichever daemon they run.
 
 use stoatwell_ledger::JobMachine;
 use stoatwell_model::Code;
@@ -25,7 +25,7 @@
 use crate::submit::may_see;
 use crate::submit::view_of_record;
 
-/// Longest wait for a cancellation's outcome to become durable.
+/// Maximum time that a caller waits for the outcome of a cancellation to become durable.
 const CANCEL_WAIT_MS: u64 = 3_000;
 
 impl Engine {
@@ -56,7 +56,7 @@
             Some(owner) if !may_see(caller, &owner) => {
                 self.answer_job(ticket, Err(Failure::new(Code::NoSuchJob)));
             }
-            Some(_) => self.cancel_here(ticket, job),
+            Some(_) => self.cancel_local(ticket, job),
             None => {
                 let caller = caller.clone();
                 self.look_up(Lookup::Cancel { ticket, caller, job });
@@ -66,15 +66,15 @@
 
     pub(crate) fn on_peer_cancel(&mut self, ticket: Ticket, job: JobId) {
         if self.owner_of(job).is_some() {
-            self.cancel_here(ticket, job);
+            self.cancel_local(ticket, job);
             return;
         }
         self.answer_job(ticket, Err(Failure::new(Code::NoSuchJob)));
     }
 
-    pub(crate) fn cancel_here(&mut self, ticket: Ticket, job: JobId) {
+    pub(crate) fn cancel_local(&mut self, ticket: Ticket, job: JobId) {
         self.drive(job, JobMachine::cancel);
-        // The answer may be "not run", which has to be durable before it is told.
+        // The outcome may be "not run", which must be durable before it is returned.
         self.wait_for(job, ticket, CANCEL_WAIT_MS);
     }
 
@@ -85,6 +85,7 @@
         self.recent.get(&job).map(|view| view.owner.clone())
     }
 
+    /// Reads the record of a job from the store.
     pub(crate) fn look_up(&mut self, lookup: Lookup) {
         let job = match &lookup {
             Lookup::Status { job, .. } | Lookup::Cancel { job, .. } => *job,
@@ -97,7 +98,7 @@
         self.call_store(StoreOp::Lookup(lookup), call);
     }
 
-    pub(crate) fn on_looked_up(&mut self, lookup: Lookup, reply: Result<StoreReply, CallError>) {
+    pub(crate) fn on_lookup_reply(&mut self, lookup: Lookup, reply: Result<StoreReply, CallError>) {
         let record: Result<Option<JobRecord>, CallError> = match reply {
             Ok(StoreReply::Rows { rows }) => {
                 Ok(rows.first().and_then(|row| serde_json::from_str(&row.value).ok()))
@@ -114,7 +115,7 @@
             (Lookup::Cancel { ticket, caller, job }, Ok(Some(found)))
                 if may_see(&caller, &found.owner) =>
             {
-                self.cancel_elsewhere(ticket, job, found);
+                self.cancel_at_coordinator(ticket, job, found);
             }
             (Lookup::Resubmission { ticket, submission, wait_ms, .. }, Ok(Some(found))) => {
                 if found.content_hash == content_hash(&submission) {
@@ -141,7 +142,7 @@
         }
     }
 
-    pub(crate) fn cancel_elsewhere(&mut self, ticket: Ticket, job: JobId, record: JobRecord) {
+    pub(crate) fn cancel_at_coordinator(&mut self, ticket: Ticket, job: JobId, record: JobRecord) {
         if record.outcome.is_some() {
             self.answer_job(ticket, Ok(view_of_record(record, Vec::new())));
             return;
@@ -154,7 +155,9 @@
         }
     }
 
-    /// Answers from a record that another daemon may be working on.
+    /// Answers a caller from the record of a job that another daemon may be working on. A
+    /// job that isn't finished is inquired about at its coordinator, unless that is silent
+    /// or this daemon.
     pub(crate) fn answer_from_record(&mut self, ticket: Ticket, record: JobRecord, wait_ms: u64) {
         if record.outcome.is_some() {
             let view = view_of_record(record, Vec::new());
@@ -164,17 +167,20 @@
         }
         let coordinator = record.coordinator.clone();
         let job = record.job;
-        let asks = !self.is_silent(&coordinator) && coordinator != self.me.daemon;
-        if asks
+        let is_askable = !self.is_silent(&coordinator) && coordinator != self.me.daemon;
+        if is_askable
             && self.call_peer(PeerOp::Pass(ticket), &coordinator, PeerCall::Status { job, wait_ms })
         {
             return;
         }
-        let note = format!("daemon {coordinator} that ran it is not heard; another takes it over");
+        let note = format!(
+            "coordinator {coordinator} cannot be reached; another daemon takes the job over"
+        );
         self.answer_job(ticket, Ok(view_of_record(record, vec![note])));
     }
 
-    pub(crate) fn pass_on(&mut self, ticket: Ticket, reply: Result<PeerReply, CallError>) {
+    /// Returns a peer's answer about a job to the caller.
+    pub(crate) fn relay_reply(&mut self, ticket: Ticket, reply: Result<PeerReply, CallError>) {
         let result = match reply {
             Ok(PeerReply::Job(result)) => result,
             Ok(_) => Err(Failure::new(Code::Internal)),
@@ -186,7 +192,7 @@
         self.answer_job(ticket, result);
     }
 
-    pub(crate) fn on_store_answer(&mut self, ticket: Ticket, reply: Result<StoreReply, CallError>) {
+    pub(crate) fn on_store_reply(&mut self, ticket: Ticket, reply: Result<StoreReply, CallError>) {
         self.effects.push(Effect::Answer { ticket, answer: Answer::Store(reply) });
     }
 }
--- a/crates/engine/src/observations.rs
+++ b/crates/engine/src/observations.rs
@@ -1,4 +1,4 @@
-//! What was seen of tasks, and what follows for their jobs.
+//! Observed states of tasks, and their effects on the jobs.
 
 use std::collections::BTreeMap;
 
@@ -10,11 +10,12 @@
 use crate::Engine;
 use crate::message::Seen;
 
-/// Before a refused start is placed again.
-const REFUSED_PAUSE_MS: u64 = 100;
+/// Delay before a task whose attempt never started is placed again.
+const REFUSED_START_BACKOFF_MS: u64 = 100;
 
 impl Engine {
-    /// What the holder of a worker saw of a task.
+    /// Passes on what the holder of a worker observed about a task: directly if the job
+    /// runs here, otherwise as a report to its coordinator.
     pub(crate) fn notify_coordinator(
         &mut self,
         attempt: AttemptId,
@@ -29,53 +30,61 @@
         self.remote.report(coordinator, attempt, worker, seen);
     }
 
-    /// Takes what was seen of a task of a job that runs here; says whether it does.
+    /// Handles an observed state of a task. Returns `false` if this daemon doesn't know
+    /// the job.
     pub(crate) fn on_observation(
         &mut self,
         attempt: AttemptId,
         worker: &WorkerId,
         seen: Seen,
     ) -> bool {
-        let one = BTreeMap::from([(attempt, worker.clone())]);
+        let attempts = BTreeMap::from([(attempt, worker.clone())]);
         let Some(job) = self.jobs.get(&attempt.job) else {
-            return self.on_seen_of_finished(attempt, worker, &seen);
+            return self.on_finished_job_observation(attempt, worker, &seen);
         };
         let ended = matches!(&seen, Seen::State(state) if !state.is_running());
         let repeatable = !job.machine.record.execution.needs_intent();
-        let looks = job.finding > 0 || job.find_ms.is_some();
-        if looks && let Seen::State(state) = &seen {
+        let is_finding_tasks = job.finding > 0 || job.find_ms.is_some();
+        if is_finding_tasks && let Seen::State(state) = &seen {
             self.drive(attempt.job, |machine, now_ms| {
                 machine.on_found(now_ms, attempt, worker, state)
             });
         }
         if !self.is_current(attempt, worker) {
-            self.end_earlier_try(attempt, worker, &seen);
+            self.end_superseded_attempt(attempt, worker, &seen);
             return true;
         }
-        if !looks {
-            self.drive_seen(attempt, &seen);
+        if !is_finding_tasks {
+            self.drive_observation(attempt, &seen);
         }
-        // The last try of each task is kept at its worker until the job's outcome
-        // is durable, so that a successor finds what was done.
-        let last = self.jobs.get(&attempt.job).is_some_and(|job| job.machine.is_current(attempt));
-        if ended && repeatable && !last {
-            self.acknowledge(&one);
+        // The worker keeps the latest attempt of each task until the job's outcome is
+        // durable, so that a daemon that takes the job over finds its results.
+        let is_latest =
+            self.jobs.get(&attempt.job).is_some_and(|job| job.machine.is_current(attempt));
+        if ended && repeatable && !is_latest {
+            self.acknowledge(&attempts);
         }
         true
     }
 
-    /// Whether an attempt is its task's present one, on this worker. Room may
-    /// have been asked of two holders for one attempt, one after the other; what
-    /// the first one says of it must not count for the second.
+    /// Whether an attempt is the current one of its task and was placed on no other
+    /// worker. One attempt may have been reserved at two holders, one after the other;
+    /// a report of the first one must not count for the second.
     pub(crate) fn is_current(&self, attempt: AttemptId, worker: &WorkerId) -> bool {
         let Some(job) = self.jobs.get(&attempt.job) else {
             return false;
         };
-        let elsewhere = job.machine.worker_of(attempt).is_some_and(|other| other != *worker);
-        job.machine.is_current(attempt) && !elsewhere
+        let on_other_worker = job.machine.worker_of(attempt).is_some_and(|other| other != *worker);
+        job.machine.is_current(attempt) && !on_other_worker
     }
 
-    pub(crate) fn end_earlier_try(&mut self, attempt: AttemptId, worker: &WorkerId, seen: &Seen) {
+    /// Stops an attempt that isn't current, or lets its worker forget it if it has ended.
+    pub(crate) fn end_superseded_attempt(
+        &mut self,
+        attempt: AttemptId,
+        worker: &WorkerId,
+        seen: &Seen,
+    ) {
         match seen {
             Seen::State(TaskState::Running) => {
                 self.queue_stop(worker, attempt, StopMode::Stop);
@@ -85,9 +94,10 @@
         }
     }
 
-    pub(crate) fn drive_seen(&mut self, attempt: AttemptId, seen: &Seen) {
+    /// Feeds an observed state of a current attempt to its job's state machine.
+    pub(crate) fn drive_observation(&mut self, attempt: AttemptId, seen: &Seen) {
         if matches!(seen, Seen::Absent) {
-            self.scheduler.queue.defer(attempt.job, self.now_ms + REFUSED_PAUSE_MS);
+            self.scheduler.queue.defer(attempt.job, self.now_ms + REFUSED_START_BACKOFF_MS);
         }
         self.drive(attempt.job, |machine, now_ms| match seen {
             Seen::State(state) => machine.on_report(now_ms, attempt, state),
@@ -97,9 +107,10 @@
         });
     }
 
-    /// A task of a job that is not run here: finished work is forgotten, a
-    /// task that still runs for it is stopped.
-    pub(crate) fn on_seen_of_finished(
+    /// Handles a task of a job that doesn't run here: if the job has recently finished,
+    /// the task is stopped, or its worker may forget it if it has ended. Returns `false`
+    /// for other jobs.
+    pub(crate) fn on_finished_job_observation(
         &mut self,
         attempt: AttemptId,
         worker: &WorkerId,
@@ -108,7 +119,7 @@
         if !self.recent.contains_key(&attempt.job) {
             return false;
         }
-        self.end_earlier_try(attempt, worker, seen);
+        self.end_superseded_attempt(attempt, worker, seen);
         true
     }
 }
--- a/crates/engine/src/peers.rs
+++ b/crates/engine/src/peers.rs
@@ -1,8 +1,8 @@
-//! Signs of life, news of other zones, and questions of other daemons.
+//! Heartbeats between daemons, calls from peers, and the instance list.
 //!
-//! Inside a zone everybody hears everybody. One relay a zone exchanges a short
-//! summary with the relays of the other zones and passes on to its own zone
-//! only what changed, so that little crosses the slow and paid links.
+//! Within a zone, every daemon sends heartbeats to every other. One relay per zone
+//! exchanges a short summary with the relays of the other zones and forwards only
+//! changes to its own zone, so that little traffic crosses the slow and paid links.
 
 use std::collections::HashMap;
 
@@ -33,47 +33,55 @@
 use crate::ops::PeerOp;
 use crate::ops::StoreOp;
 
-/// Unchanged news are passed on this often.
-pub(crate) const NEWS_REPEAT_MS: u64 = 10_000;
-/// About what one line of the instance list takes.
-pub(crate) const INSTANCE_BYTES: u64 = 140;
-/// Reading the instance list costs no more than this; a longer list is read less often.
-pub(crate) const LIST_BYTES_PER_SECOND: u64 = 4_000;
-/// News older than this many silences count as no news.
-pub(crate) const NEWS_OLD_FACTOR: u64 = 4;
-/// A change of free room below this part is not news, in thousandths.
-pub(crate) const NEWS_CHANGE_PERMILLE: u64 = 125;
+/// Interval at which unchanged news is sent again.
+pub(crate) const NEWS_RESEND_MS: u64 = 10_000;
+/// Approximate size of one entry of the instance list.
+pub(crate) const INSTANCE_ENTRY_BYTES: u64 = 140;
+/// Bandwidth limit for reading the instance list; a longer list is read less often.
+pub(crate) const LIST_BYTES_PER_SECOND_MAX: u64 = 4_000;
+/// News expires after this many times the `silent_after_ms` setting.
+pub(crate) const NEWS_EXPIRY_SILENCES: u64 = 4;
+/// A change of free capacity below this fraction, in thousandths, is not sent.
+pub(crate) const SIGNIFICANT_CHANGE_PERMILLE: u64 = 125;
 
-/// What was told to whom, so that only what changed is told again.
+/// The summaries that this daemon last published, and which version each receiver was
+/// sent and when, so that unchanged summaries aren't repeated.
 #[derive(Debug, Default)]
 pub(crate) struct Announcements {
     pub(crate) summary: Summary,
-    pub(crate) changes: u64,
-    pub(crate) peers: HashMap<DaemonId, (u64, UnixMs)>,
+    /// Number of significant changes of `summary`.
+    pub(crate) summary_version: u64,
+    /// The version of `summary` that each peer was sent last, and when.
+    pub(crate) summary_sent: HashMap<DaemonId, (u64, UnixMs)>,
     pub(crate) zone_news: Option<ZoneNews>,
-    pub(crate) zone_changes: u64,
-    pub(crate) zones: HashMap<ZoneName, (u64, UnixMs)>,
+    /// Number of significant changes of `zone_news`.
+    pub(crate) zone_news_version: u64,
+    /// The version of `zone_news` that each zone was sent last, and when.
+    pub(crate) zone_news_sent: HashMap<ZoneName, (u64, UnixMs)>,
 }
 
 impl Announcements {
-    /// The summary, if this daemon has not been told it or only long ago.
+    /// The summary, unless this daemon was sent the current version recently.
     fn summary_for(&mut self, now_ms: UnixMs, daemon: &DaemonId) -> Option<Summary> {
-        let (told, told_ms) = self.peers.get(daemon).copied().unwrap_or_default();
-        if told == self.changes && told_ms > 0 && now_ms < told_ms + NEWS_REPEAT_MS {
+        let (sent_version, sent_ms) = self.summary_sent.get(daemon).copied().unwrap_or_default();
+        if sent_version == self.summary_version && sent_ms > 0 && now_ms < sent_ms + NEWS_RESEND_MS
+        {
             return None;
         }
-        self.peers.insert(daemon.clone(), (self.changes, now_ms));
+        self.summary_sent.insert(daemon.clone(), (self.summary_version, now_ms));
         Some(self.summary.clone())
     }
 }
 
-/// What is known of another zone.
+/// The state of another zone as last reported.
 #[derive(Clone, Debug)]
 pub(crate) struct ZoneState {
     pub(crate) news: ZoneNews,
     pub(crate) heard_ms: UnixMs,
-    pub(crate) changes: u64,
-    pub(crate) told: HashMap<DaemonId, (u64, UnixMs)>,
+    /// Number of significant changes of `news`.
+    pub(crate) version: u64,
+    /// The version that each daemon of this zone was sent last, and when.
+    pub(crate) sent: HashMap<DaemonId, (u64, UnixMs)>,
 }
 
 impl Engine {
@@ -81,38 +89,38 @@
         let now_ms = self.now_ms;
         if now_ms >= self.next_heartbeat_ms {
             self.next_heartbeat_ms = now_ms + self.settings.membership.heartbeat_ms;
-            self.beat_zone();
+            self.send_zone_heartbeats();
         }
         if now_ms >= self.next_relay_ms {
             self.next_relay_ms = now_ms + self.settings.membership.relay_ms;
             if self.members.is_relay(now_ms) {
-                self.beat_relays();
+                self.send_relay_heartbeats();
             }
         }
     }
 
-    fn beat_zone(&mut self) {
-        let mut near = Vec::new();
+    fn send_zone_heartbeats(&mut self) {
+        let mut same_zone = Vec::new();
         for member in self.members.all() {
             if member.identity.zone == self.me.zone {
-                near.push(member.identity.daemon.clone());
+                same_zone.push(member.identity.daemon.clone());
             }
         }
         let summary = self.summary();
-        if is_summary_news(&self.telling.summary, &summary) {
+        if is_significant_summary_change(&self.telling.summary, &summary) {
             self.telling.summary = summary;
-            self.telling.changes += 1;
+            self.telling.summary_version += 1;
         }
-        let relay = self.members.is_relay(self.now_ms);
-        for daemon in near {
+        let is_relay = self.members.is_relay(self.now_ms);
+        for daemon in same_zone {
             let summary = self.telling.summary_for(self.now_ms, &daemon);
             let beat = Heartbeat { summary, ..self.heartbeat() };
-            let news = if relay { self.news_for(&daemon) } else { Vec::new() };
+            let news = if is_relay { self.other_zone_news_for(&daemon) } else { Vec::new() };
             self.call_peer(PeerOp::Heartbeat, &daemon, PeerCall::Heartbeat { beat, news });
         }
     }
 
-    /// A sign of life that says nothing of room.
+    /// A heartbeat without a capacity summary.
     pub(crate) fn heartbeat(&self) -> Heartbeat {
         Heartbeat {
             from: self.me.clone(),
@@ -139,7 +147,8 @@
             self.fetch_catalogue_from(&beat.from.daemon);
         }
         self.on_news(news);
-        // A far relay that has no news still speaks for its zone.
+        // A heartbeat from another zone's relay shows that its zone is alive even if it
+        // carries no news.
         if let Some(state) = self.zones.get_mut(&beat.from.zone) {
             state.heard_ms = self.now_ms;
         }
@@ -159,8 +168,8 @@
                 let zone = beat.from.zone.clone();
                 self.on_heartbeat(&beat, news);
                 let beat = self.heartbeat();
-                let far = zone != self.me.zone;
-                let news = if far { self.own_news_for(&zone) } else { Vec::new() };
+                let is_other_zone = zone != self.me.zone;
+                let news = if is_other_zone { self.own_zone_news_for(&zone) } else { Vec::new() };
                 PeerReply::Heartbeat { beat, news }
             }
             PeerCall::CatalogueSince { revision } => {
@@ -202,17 +211,17 @@
                 self.on_heartbeat(&beat, news);
             }
             (PeerOp::Catalogue, Ok(PeerReply::News(news))) => self.on_catalogue_news(news),
-            (PeerOp::Pass(ticket), reply) => self.pass_on(ticket, reply),
+            (PeerOp::Pass(ticket), reply) => self.relay_reply(ticket, reply),
             (PeerOp::Forward { ticket, caller, key, submission, wait_ms }, reply) => {
                 self.on_forward_done(ticket, &caller, key, submission, wait_ms, reply);
             }
             (PeerOp::Reserve { job, attempts, holder }, reply) => {
-                self.on_reserved(job, attempts, &holder, reply);
+                self.on_reserve_reply(job, attempts, &holder, reply);
             }
             (PeerOp::Inquire, Ok(PeerReply::Tasks(replies))) => self.on_task_replies(replies),
-            (PeerOp::Find(jobs), reply) => self.on_found(&jobs, reply),
+            (PeerOp::Find(jobs), reply) => self.on_find_reply(&jobs, reply),
             (PeerOp::Report { to }, Ok(PeerReply::Acknowledged { attempts, unknown })) => {
-                self.on_report_done(&to, &attempts, &unknown);
+                self.on_report_reply(&to, &attempts, &unknown);
             }
             (
                 PeerOp::Heartbeat
@@ -237,14 +246,18 @@
         }
         self.listing = true;
         self.next_list_ms = self.now_ms + self.settings.platform.instances_interval_ms;
-        // Only this zone's workers, unless work was taken over from another zone:
-        // the whole list at the target is hundreds of kilobytes.
-        let abroad = self.works_abroad();
-        let zone = if abroad { None } else { Some(self.me.zone.clone()) };
-        self.call_store(StoreOp::List { whole: abroad }, StoreCall::Instances { zone });
+        // Only the instances of this zone are read unless work was taken over from
+        // another zone: the full list takes hundreds of kilobytes at the target size.
+        let all_zones = self.has_tasks_in_other_zones();
+        let zone = if all_zones { None } else { Some(self.me.zone.clone()) };
+        self.call_store(StoreOp::List { whole: all_zones }, StoreCall::Instances { zone });
     }
 
-    pub(crate) fn on_list(&mut self, whole: bool, reply: Result<StoreReply, CallError>) {
+    pub(crate) fn on_instance_list(
+        &mut self,
+        all_zones: bool,
+        reply: Result<StoreReply, CallError>,
+    ) {
         self.listing = false;
         let Ok(StoreReply::Instances { instances }) = reply else {
             return;
@@ -275,19 +288,19 @@
             }
         }
         self.members.on_list(self.now_ms, &daemons);
-        let list_bytes = (daemons.len() + zones.len()) as u64 * INSTANCE_BYTES;
-        let paced_ms = list_bytes * 1_000 / LIST_BYTES_PER_SECOND;
-        self.next_list_ms = self.next_list_ms.max(self.now_ms + paced_ms);
-        if !whole {
+        let list_bytes = (daemons.len() + zones.len()) as u64 * INSTANCE_ENTRY_BYTES;
+        let min_interval_ms = list_bytes * 1_000 / LIST_BYTES_PER_SECOND_MAX;
+        self.next_list_ms = self.next_list_ms.max(self.now_ms + min_interval_ms);
+        if !all_zones {
             let others = std::mem::take(&mut self.worker_zones);
             zones.extend(others.into_iter().filter(|(_, zone)| *zone != self.me.zone));
         }
         self.worker_zones = zones;
-        self.note_gone(whole);
+        self.record_missing_workers(all_zones);
         self.holdings.on_list(workers);
     }
 
-    /// Where a daemon's peers reach it.
+    /// The address at which peers reach a daemon; `None` if it isn't known.
     pub(crate) fn address_of(&self, daemon: &DaemonId) -> Option<String> {
         if let Some(member) = self.members.get(daemon) {
             return Some(member.identity.peer_address.clone());
@@ -300,69 +313,71 @@
         None
     }
 
-    /// Other daemons of this zone that were heard of late.
+    /// Other daemons of this zone that sent a heartbeat recently.
     pub(crate) fn zone_peers(&self) -> Vec<DaemonId> {
         let live = self.members.live_in(self.now_ms, &self.me.zone);
         live.map(|member| member.identity.daemon.clone()).collect()
     }
 
-    /// Other daemons of a zone that are alive, as far as can be told from here.
-    pub(crate) fn daemons_of(&self, zone: &ZoneName) -> Vec<DaemonId> {
+    /// Other daemons of a zone that are alive, as far as this daemon knows.
+    pub(crate) fn daemons_in(&self, zone: &ZoneName) -> Vec<DaemonId> {
         if *zone == self.me.zone {
             return self.zone_peers();
         }
-        let told = self.zones.get(zone).into_iter().flat_map(|state| &state.news.daemons);
-        told.map(|found| found.daemon.clone()).collect()
+        let reported = self.zones.get(zone).into_iter().flat_map(|state| &state.news.daemons);
+        reported.map(|found| found.daemon.clone()).collect()
     }
 
-    /// Whether a daemon was heard once and is not heard any more. One that was
-    /// never heard may only be new here.
+    /// Whether a daemon was known to be alive and no longer is. A daemon that was never
+    /// heard of may just be new.
     pub(crate) fn is_silent(&self, daemon: &DaemonId) -> bool {
         let heard = self.members.get(daemon).is_some_and(|member| member.heard_ms > 0);
-        let told = self
+        let reported = self
             .zones
             .values()
             .any(|state| state.news.daemons.iter().any(|found| found.daemon == *daemon));
-        (heard || told) && !self.is_live(daemon)
+        (heard || reported) && !self.is_live(daemon)
     }
 
-    /// Whether a daemon is alive, as far as can be told from here.
+    /// Whether a daemon is alive, as far as this daemon knows.
     pub(crate) fn is_live(&self, daemon: &DaemonId) -> bool {
         if self.members.is_live(self.now_ms, daemon) {
             return true;
         }
-        let fresh_ms = self.settings.membership.silent_after_ms * NEWS_OLD_FACTOR;
+        let max_age_ms = self.settings.membership.silent_after_ms * NEWS_EXPIRY_SILENCES;
         self.zones.values().any(|state| {
-            let fresh = self.now_ms < state.heard_ms + fresh_ms;
+            let fresh = self.now_ms < state.heard_ms + max_age_ms;
             fresh && state.news.daemons.iter().any(|found| found.daemon == *daemon)
         })
     }
 
-    /// A daemon elsewhere that has this much free for an owner, nearest first.
+    /// Another daemon with this much free capacity for an owner, preferring this zone,
+    /// then this region.
     pub(crate) fn find_peer_with_capacity(
         &self,
         owner: &OwnerName,
         need: &Resources,
     ) -> Option<DaemonId> {
-        let offers = |summary: &Summary| {
+        let has_capacity = |summary: &Summary| {
             summary
                 .owners
                 .iter()
                 .any(|found| found.owner == *owner && found.largest_free.holds(need))
         };
-        let near = self.members.live_in(self.now_ms, &self.me.zone);
-        let near = near.filter(|member| !member.stopping && offers(&member.summary));
-        // The least loaded of those that can; a summary is seconds old at most.
-        let chosen = near.min_by_key(|member| (member.summary.queued, member.summary.running));
+        let same_zone = self.members.live_in(self.now_ms, &self.me.zone);
+        let same_zone =
+            same_zone.filter(|member| !member.stopping && has_capacity(&member.summary));
+        // The least loaded of the candidates; a summary is seconds old at most.
+        let chosen = same_zone.min_by_key(|member| (member.summary.queued, member.summary.running));
         if let Some(member) = chosen {
             return Some(member.identity.daemon.clone());
         }
-        self.find_far(&offers, false)
+        self.find_in_other_zone(&has_capacity, false)
     }
 
-    /// A daemon elsewhere whose minions of this group have a free slot. For an
-    /// owner that values little control traffic above short waits it is one of
-    /// this region: what crosses regions is paid.
+    /// Another daemon whose minions of this group have a free slot. If the owner's
+    /// weight for control traffic exceeds the one for waiting time, only daemons of
+    /// this region are considered, since traffic between regions is paid.
     pub(crate) fn find_peer_with_minions(
         &self,
         group: &str,
@@ -372,33 +387,41 @@
             let found = summary.groups.iter().find(|found| found.group == group);
             found.map_or(0, |found| found.free_slots)
         };
-        let near = self.members.live_in(self.now_ms, &self.me.zone);
-        let near = near.filter(|member| !member.stopping && free(&member.summary) > 0);
-        if let Some(member) = near.max_by_key(|member| free(&member.summary)) {
+        let same_zone = self.members.live_in(self.now_ms, &self.me.zone);
+        let same_zone = same_zone.filter(|member| !member.stopping && free(&member.summary) > 0);
+        if let Some(member) = same_zone.max_by_key(|member| free(&member.summary)) {
             return Some(member.identity.daemon.clone());
         }
         let weights = self.catalogue.owner(owner).map(|owner| owner.weights).unwrap_or_default();
-        let stays = weights.control > weights.waiting;
-        self.find_far(&|summary: &Summary| free(summary) > 0, stays)
+        let same_region_only = weights.control > weights.waiting;
+        self.find_in_other_zone(&|summary: &Summary| free(summary) > 0, same_region_only)
     }
 
-    /// Whether a zone is in another region.
-    fn is_abroad(&self, state: &ZoneState) -> bool {
+    /// Whether a zone is in another region, or has no known daemon.
+    fn is_in_other_region(&self, state: &ZoneState) -> bool {
         state.news.daemons.first().is_none_or(|daemon| daemon.region != self.me.region)
     }
 
-    /// A daemon of another zone, the same region before others.
-    fn find_far(&self, offers: &dyn Fn(&Summary) -> bool, stays: bool) -> Option<DaemonId> {
-        let fresh_ms = self.settings.membership.silent_after_ms * NEWS_OLD_FACTOR;
+    /// A daemon of another zone, preferring zones of this region and then those with
+    /// the fewest queued tasks.
+    fn find_in_other_zone(
+        &self,
+        has_capacity: &dyn Fn(&Summary) -> bool,
+        same_region_only: bool,
+    ) -> Option<DaemonId> {
+        let max_age_ms = self.settings.membership.silent_after_ms * NEWS_EXPIRY_SILENCES;
         let mut zones: Vec<&ZoneState> = Vec::new();
         for state in self.zones.values() {
-            let fresh = self.now_ms < state.heard_ms + fresh_ms;
-            if fresh && offers(&state.news.summary) && !(stays && self.is_abroad(state)) {
+            let fresh = self.now_ms < state.heard_ms + max_age_ms;
+            if fresh
+                && has_capacity(&state.news.summary)
+                && !(same_region_only && self.is_in_other_region(state))
+            {
                 zones.push(state);
             }
         }
         zones.sort_by_key(|state| {
-            (self.is_abroad(state), state.news.summary.queued, state.news.zone.clone())
+            (self.is_in_other_region(state), state.news.summary.queued, state.news.zone.clone())
         });
         let state = zones.first()?;
         let daemons = state.news.daemons.iter().map(|found| &found.daemon);
@@ -406,12 +429,13 @@
     }
 }
 
-pub(crate) fn is_summary_news(old: &Summary, new: &Summary) -> bool {
+/// Whether a summary differs from the one that was sent last by enough to be sent again.
+pub(crate) fn is_significant_summary_change(old: &Summary, new: &Summary) -> bool {
     if old.owners.len() != new.owners.len() || old.groups.len() != new.groups.len() {
         return true;
     }
-    let moved = |before: u64, after: u64| {
-        before.abs_diff(after) * 1_000 > before.max(after) * NEWS_CHANGE_PERMILLE
+    let changed = |before: u64, after: u64| {
+        before.abs_diff(after) * 1_000 > before.max(after) * SIGNIFICANT_CHANGE_PERMILLE
     };
     let mut owners = old.owners.iter().zip(&new.owners);
     let mut groups = old.groups.iter().zip(&new.groups);
@@ -419,11 +443,11 @@
         let (free, now_free) = (&before.largest_free, &after.largest_free);
         before.owner != after.owner
             || before.largest != after.largest
-            || moved(free.cpu_millis, now_free.cpu_millis)
-            || moved(free.memory_bytes, now_free.memory_bytes)
-            || moved(free.accelerators, now_free.accelerators)
+            || changed(free.cpu_millis, now_free.cpu_millis)
+            || changed(free.memory_bytes, now_free.memory_bytes)
+            || changed(free.accelerators, now_free.accelerators)
     }) || groups.any(|(before, after)| {
-        let none = (before.free_slots == 0) != (after.free_slots == 0);
-        none || moved(u64::from(before.free_slots), u64::from(after.free_slots))
+        let availability_changed = (before.free_slots == 0) != (after.free_slots == 0);
+        availability_changed || changed(u64::from(before.free_slots), u64::from(after.free_slots))
     })
 }
--- a/crates/engine/src/remote.rs
+++ b/crates/engine/src/remote.rs
@@ -1,9 +1,8 @@
-//! Tasks on workers that other daemons hold.
+//! Tasks on workers whose lease another daemon holds.
 //!
-//! The daemon that runs a job asks a peer for room, records intents where
-//! needed, and then asks it to start the tasks. Room that is not used goes
-//! back by itself. What the holder sees of the tasks it reports until the
-//! other side has taken it.
+//! The daemon that runs a job reserves capacity at a peer, records intents where
+//! needed, and then asks the peer to start the tasks. Unused reservations expire.
+//! The holder repeats its reports about the tasks until they are acknowledged.
 
 use std::collections::BTreeMap;
 
@@ -28,39 +27,40 @@
 use crate::message::Seen;
 use crate::ops::PeerOp;
 
-/// Room that was set aside and not used goes back after this time.
-const RESERVED_MS: u64 = 10_000;
-/// Reports without an acknowledgement are repeated after this time.
-const REPORT_AGAIN_MS: u64 = 5_000;
-/// Between two looks for room that nobody is going to use.
-const RECLAIM_MS: u64 = 2_000;
-/// Tasks in one question for room.
-const TASKS_PER_QUESTION: usize = 64;
-/// Jobs for which room is asked elsewhere in one tick.
-const JOBS_PER_TICK: usize = 4;
-/// Before room is asked elsewhere for the same job again.
-const ASK_AGAIN_MS: u64 = 1_000;
+/// Time after which an unused reservation expires.
+const RESERVATION_TTL_MS: u64 = 10_000;
+/// Delay before a report without an acknowledgement is sent again.
+const REPORT_RETRY_MS: u64 = 5_000;
+/// Interval between searches for allocated capacity that nobody is going to use.
+const RECLAIM_INTERVAL_MS: u64 = 2_000;
+/// Maximum number of tasks in one reservation call.
+const TASKS_PER_RESERVE_CALL: usize = 64;
+/// Maximum number of jobs for which peers are asked for capacity in one tick.
+const RESERVE_JOBS_PER_TICK: usize = 4;
+/// Minimum delay before peers are asked again for capacity for the same job; a varying
+/// part of up to the same length is added.
+const RESERVE_RETRY_MS: u64 = 1_000;
 
-/// Both sides of work across daemons.
+/// State of tasks that run on workers of another daemon, on both sides.
 #[derive(Debug, Default)]
 pub(crate) struct Remote {
-    /// Room that others set aside for tasks that run from here.
-    pub(crate) reserved: BTreeMap<AttemptId, (DaemonId, Reservation)>,
-    /// Starts to send, by holder.
+    /// Reservations at peers, with the holder, for tasks of this daemon's jobs.
+    pub(crate) peer_reservations: BTreeMap<AttemptId, (DaemonId, Reservation)>,
+    /// Starts that have yet to be sent, by holder.
     pub(crate) starts: BTreeMap<DaemonId, Vec<(WorkerId, Token, StartTask)>>,
-    /// Room set aside here for others, until a time.
-    pub(crate) promised: BTreeMap<AttemptId, UnixMs>,
-    /// What the daemons that run tasks on workers held here have to hear.
+    /// Reservations on workers held here for peers, with the time when they expire.
+    pub(crate) granted: BTreeMap<AttemptId, UnixMs>,
+    /// Reports without an acknowledgement, by the daemon that runs the job.
     outbox: BTreeMap<DaemonId, BTreeMap<AttemptId, Report>>,
-    /// Jobs for which room is being asked, or was of late.
-    pub(crate) asking: BTreeMap<JobId, UnixMs>,
-    /// Gangs that collect room here and elsewhere.
+    /// Jobs for which peers were asked for capacity, with the time of the next try.
+    pub(crate) recently_requested: BTreeMap<JobId, UnixMs>,
+    /// Gangs that are collecting reservations here and at peers.
     pub(crate) gangs: BTreeMap<JobId, Gang>,
-    /// When room is looked through next.
-    pub(crate) reclaim_ms: UnixMs,
+    /// When to search for unused capacity next.
+    pub(crate) next_reclaim_ms: UnixMs,
 }
 
-/// A report and when it is due again.
+/// A report and when to send it next.
 #[derive(Debug)]
 struct Report {
     worker: WorkerId,
@@ -68,12 +68,12 @@
     due_ms: UnixMs,
 }
 
-/// A gang that is wider than one holder.
+/// A gang whose tasks need the workers of several daemons.
 #[derive(Debug)]
 pub(crate) struct Gang {
     pub(crate) attempts: Vec<AttemptId>,
     pub(crate) placed: Vec<(AttemptId, WorkerId, Token)>,
-    /// Daemons yet to be asked, in one order for all gangs.
+    /// Daemons that have yet to be asked, in the same order for all gangs.
     pub(crate) peers: Vec<DaemonId>,
 }
 
@@ -91,39 +91,39 @@
     }
 
     pub(crate) fn is_reserved(&self, attempt: AttemptId) -> bool {
-        self.reserved.contains_key(&attempt)
+        self.peer_reservations.contains_key(&attempt)
     }
 
     pub(crate) fn reserved_demand(&self, attempt: AttemptId) -> Option<Resources> {
-        self.reserved.get(&attempt).map(|(_, reservation)| reservation.demand)
+        self.peer_reservations.get(&attempt).map(|(_, reservation)| reservation.demand)
     }
 
-    /// Queues a start on room that another daemon set aside.
+    /// Queues a start that uses a reservation at another daemon.
     pub(crate) fn queue_start(&mut self, worker: WorkerId, start: StartTask) {
-        if let Some((holder, reservation)) = self.reserved.remove(&start.attempt) {
+        if let Some((holder, reservation)) = self.peer_reservations.remove(&start.attempt) {
             self.starts.entry(holder).or_default().push((worker, reservation.token, start));
         }
     }
 
-    /// Room set aside here is not to be used any more.
-    pub(crate) fn withdraw_promise(&mut self, attempt: AttemptId) {
-        self.promised.remove(&attempt);
+    /// Removes a peer's reservation here, without releasing the capacity.
+    pub(crate) fn remove_grant(&mut self, attempt: AttemptId) {
+        self.granted.remove(&attempt);
     }
 
     pub(crate) fn forget_job(&mut self, job: JobId) {
-        self.asking.remove(&job);
+        self.recently_requested.remove(&job);
         self.gangs.remove(&job);
-        self.reserved.retain(|attempt, _| attempt.job != job);
+        self.peer_reservations.retain(|attempt, _| attempt.job != job);
     }
 
-    /// Whether room here is kept for an attempt of another daemon's job, or of
-    /// a gang that still gathers room.
-    fn keeps(&self, attempt: AttemptId) -> bool {
-        let gathers = self
+    /// Whether capacity here is reserved for an attempt, either of a peer's job or of a
+    /// gang that is still collecting reservations.
+    fn is_claimed(&self, attempt: AttemptId) -> bool {
+        let in_open_gang = self
             .gangs
             .get(&attempt.job)
             .is_some_and(|gang| gang.placed.iter().any(|(placed, _, _)| *placed == attempt));
-        gathers || self.promised.contains_key(&attempt)
+        in_open_gang || self.granted.contains_key(&attempt)
     }
 
     pub(crate) fn unreported(&self) -> usize {
@@ -132,22 +132,24 @@
 }
 
 impl Engine {
-    /// Asks other daemons of the zone for room where this one has too little.
+    /// Asks other daemons of the zone for capacity for jobs that wait here.
     pub(crate) fn reserve_at_peers(&mut self) {
         let now_ms = self.now_ms;
-        self.take_back_promises();
-        self.reclaim_room();
-        self.remote.asking.retain(|_, until_ms| *until_ms > now_ms);
+        self.expire_grants();
+        self.reclaim_unused_capacity();
+        self.remote.recently_requested.retain(|_, until_ms| *until_ms > now_ms);
         if self.stopping || self.scheduler.queue.is_empty() {
             return;
         }
-        let mut fronts = Vec::new();
-        for line in self.scheduler.queue.entry_queues() {
-            fronts.extend(line.front(1));
+        let mut queue_heads = Vec::new();
+        for entry_queue in self.scheduler.queue.entry_queues() {
+            queue_heads.extend(entry_queue.front(1));
         }
-        let mut asked = 0;
-        for id in fronts {
-            if asked == JOBS_PER_TICK || self.remote.asking.contains_key(&id) {
+        let mut jobs_asked = 0;
+        for id in queue_heads {
+            if jobs_asked == RESERVE_JOBS_PER_TICK
+                || self.remote.recently_requested.contains_key(&id)
+            {
                 continue;
             }
             let Some(waiting) = self.scheduler.queue.get(id).cloned() else {
@@ -156,37 +158,41 @@
             if waiting.not_before_ms > now_ms {
                 continue;
             }
-            asked += usize::from(self.ask_for_room(&waiting));
+            jobs_asked += usize::from(self.reserve_elsewhere(&waiting));
         }
     }
 
-    fn ask_for_room(&mut self, waiting: &WaitingJob) -> bool {
-        // Two gangs that each hold half of what both need would meet again and
-        // again if they asked in step, so the pause differs each time.
+    fn reserve_elsewhere(&mut self, waiting: &WaitingJob) -> bool {
+        // Two gangs that each hold half of what both need would collide again and again
+        // if they retried in lockstep, so the delay is different each time.
         let seed = (waiting.job.0 as u64 ^ self.now_ms).to_le_bytes();
-        let again_ms = self.now_ms + ASK_AGAIN_MS + xxh3_64(&seed) % ASK_AGAIN_MS;
-        self.remote.asking.insert(waiting.job, again_ms);
+        let retry_ms = self.now_ms + RESERVE_RETRY_MS + xxh3_64(&seed) % RESERVE_RETRY_MS;
+        self.remote.recently_requested.insert(waiting.job, retry_ms);
         let demand = self.scheduler.demand(waiting);
         if waiting.class == Class::Gang {
-            // Where it would fit in whole, room is kept for it here instead.
+            // If the whole gang could fit on the workers held here, capacity is kept for
+            // it here instead.
             let cell = &self.scheduler.cell;
             let fits_here = cell.could_fit_all(&waiting.owner, &demand, waiting.tasks.len());
-            return !fits_here && self.gather_gang(waiting);
+            return !fits_here && self.reserve_gang(waiting);
         }
-        let offers = |owners: &[stoatwell_model::peer::OwnerSummary]| {
+        let has_capacity = |owners: &[stoatwell_model::peer::OwnerSummary]| {
             owners
                 .iter()
                 .any(|found| found.owner == waiting.owner && found.largest_free.holds(&demand))
         };
-        let near = self.members.live_in(self.now_ms, &self.me.zone);
-        let near = near.filter(|member| !member.stopping && offers(&member.summary.owners));
-        let offering: Vec<&DaemonId> = near.map(|member| &member.identity.daemon).collect();
-        // Another one each time: one that has room may be at a limit it does not tell.
-        let turn = (self.now_ms / ASK_AGAIN_MS) as usize;
-        let Some(holder) = offering.get(turn % offering.len().max(1)).copied().cloned() else {
+        let same_zone = self.members.live_in(self.now_ms, &self.me.zone);
+        let same_zone =
+            same_zone.filter(|member| !member.stopping && has_capacity(&member.summary.owners));
+        let candidates: Vec<&DaemonId> = same_zone.map(|member| &member.identity.daemon).collect();
+        // The candidates take turns: one with free capacity may be at a limit that its
+        // summary doesn't show.
+        let rotation = (self.now_ms / RESERVE_RETRY_MS) as usize;
+        let Some(holder) = candidates.get(rotation % candidates.len().max(1)).copied().cloned()
+        else {
             return false;
         };
-        let attempts = self.scheduler.queue.take_tasks(waiting.job, TASKS_PER_QUESTION);
+        let attempts = self.scheduler.queue.take_tasks(waiting.job, TASKS_PER_RESERVE_CALL);
         self.reserve_at(waiting.job, &holder, attempts)
     }
 
@@ -239,8 +245,8 @@
             not_before_ms: 0,
         };
         for attempt in attempts {
-            // A daemon that lost the job unawares asks for what runs here already;
-            // its room would be given away a second time.
+            // A daemon that hasn't noticed that it lost the job may ask for an attempt
+            // that already runs here; its capacity would be allocated a second time.
             if self.scheduler.cell.running(*attempt).is_some() {
                 break;
             }
@@ -251,7 +257,7 @@
                 self.scheduler.release_unstarted(self.now_ms, *attempt);
                 break;
             };
-            self.remote.promised.insert(*attempt, self.now_ms + RESERVED_MS);
+            self.remote.granted.insert(*attempt, self.now_ms + RESERVATION_TTL_MS);
             let (worker, demand) = (placed.worker, placed.demand);
             reservations.push(Reservation { attempt: *attempt, worker, token, demand });
         }
@@ -260,27 +266,28 @@
 
     pub(crate) fn on_unreserve(&mut self, attempts: &[AttemptId]) -> PeerReply {
         for attempt in attempts {
-            if self.remote.promised.remove(attempt).is_some() {
+            if self.remote.granted.remove(attempt).is_some() {
                 self.release_unstarted(*attempt);
             }
         }
         PeerReply::Noted
     }
 
-    /// Gives back room that nobody is going to use. A job may be lost to another
-    /// daemon between getting room and starting; its room would be lost with it,
-    /// and one would notice only that the cell seems full.
-    pub(crate) fn reclaim_room(&mut self) {
-        if self.now_ms < self.remote.reclaim_ms {
+    /// Releases capacity that nobody is going to use. A job may move to another daemon
+    /// after its capacity was allocated and before its tasks start; the capacity would
+    /// leak, with no other symptom than a cell that seems full.
+    pub(crate) fn reclaim_unused_capacity(&mut self) {
+        if self.now_ms < self.remote.next_reclaim_ms {
             return;
         }
-        self.remote.reclaim_ms = self.now_ms + RECLAIM_MS;
+        self.remote.next_reclaim_ms = self.now_ms + RECLAIM_INTERVAL_MS;
         let mut unused = Vec::new();
         for (attempt, running) in self.scheduler.cell.all_running() {
-            let known = self.held.get(&running.worker).is_some_and(|held| held.knows(*attempt));
+            let on_worker =
+                self.held.get(&running.worker).is_some_and(|held| held.has_attempt(*attempt));
             let job = self.jobs.get(&attempt.job);
-            let wanted = job.is_some_and(|job| job.machine.is_about_to_start(*attempt));
-            if !known && !wanted && !self.remote.keeps(*attempt) {
+            let is_about_to_start = job.is_some_and(|job| job.machine.is_about_to_start(*attempt));
+            if !on_worker && !is_about_to_start && !self.remote.is_claimed(*attempt) {
                 unused.push(*attempt);
             }
         }
@@ -289,21 +296,21 @@
         }
     }
 
-    fn take_back_promises(&mut self) {
+    fn expire_grants(&mut self) {
         let now_ms = self.now_ms;
-        let mut over = Vec::new();
-        self.remote.promised.retain(|attempt, until_ms| {
+        let mut expired = Vec::new();
+        self.remote.granted.retain(|attempt, until_ms| {
             if *until_ms <= now_ms {
-                over.push(*attempt);
+                expired.push(*attempt);
             }
             *until_ms > now_ms
         });
-        for attempt in over {
+        for attempt in expired {
             self.release_unstarted(attempt);
         }
     }
 
-    pub(crate) fn on_reserved(
+    pub(crate) fn on_reserve_reply(
         &mut self,
         id: JobId,
         attempts: Vec<AttemptId>,
@@ -312,7 +319,7 @@
     ) {
         let reservations = match reply {
             Ok(PeerReply::Reserved { reservations }) => reservations,
-            // Room that was set aside all the same goes back by itself.
+            // A reservation that was made nevertheless expires.
             Ok(_) | Err(_) => Vec::new(),
         };
         let mut placed = Vec::new();
@@ -323,7 +330,7 @@
                 continue;
             }
             placed.push((attempt, reservation.worker.clone(), reservation.token));
-            self.remote.reserved.insert(attempt, (holder.clone(), reservation));
+            self.remote.peer_reservations.insert(attempt, (holder.clone(), reservation));
         }
         if let Some(gang) = self.remote.gangs.get_mut(&id) {
             gang.placed.extend(placed);
@@ -333,19 +340,21 @@
         if !self.jobs.contains_key(&id) {
             return;
         }
-        let got: Vec<AttemptId> = placed.iter().map(|(attempt, _, _)| *attempt).collect();
-        let rest: Vec<AttemptId> =
-            attempts.into_iter().filter(|attempt| !got.contains(attempt)).collect();
-        if !rest.is_empty() {
-            self.enqueue(id, rest);
+        let placed_attempts: Vec<AttemptId> =
+            placed.iter().map(|(attempt, _, _)| *attempt).collect();
+        let unplaced: Vec<AttemptId> =
+            attempts.into_iter().filter(|attempt| !placed_attempts.contains(attempt)).collect();
+        if !unplaced.is_empty() {
+            self.enqueue(id, unplaced);
         }
         if placed.is_empty() {
             return;
         }
         if let Some(job) = self.jobs.get_mut(&id) {
             let count = placed.len();
-            job.machine
-                .note(format!("{count} tasks placed on workers of {holder}, which had room"));
+            job.machine.note(format!(
+                "{count} tasks placed on workers of {holder}, which had free capacity"
+            ));
         }
         self.drive(id, |machine, now_ms| machine.on_placed(now_ms, &placed));
     }
@@ -363,24 +372,24 @@
         for (worker, token, start) in tasks {
             let attempt = start.attempt;
             let coordinator = start.coordinator.clone();
-            let promised = self.remote.promised.remove(&attempt).is_some();
-            let current = self.held.get(&worker).is_some_and(|held| held.token == token);
-            // Room that went back may be somebody else's now, and under another
-            // token the intent names a lease that is over.
-            if promised && current && self.queue_start(&worker, start) {
+            let granted = self.remote.granted.remove(&attempt).is_some();
+            let has_current_token = self.held.get(&worker).is_some_and(|held| held.token == token);
+            // The capacity of an expired reservation may be in use by another task, and
+            // an intent with another token refers to an earlier lease.
+            if granted && has_current_token && self.queue_start(&worker, start) {
                 continue;
             }
-            if current {
+            if has_current_token {
                 self.notify_coordinator(attempt, &worker, &coordinator, Seen::Absent);
             }
-            if promised {
+            if granted {
                 self.release_unstarted(attempt);
             }
         }
         PeerReply::Noted
     }
 
-    /// Tells other daemons what was seen of their tasks.
+    /// Sends the reports that are due to the daemons that run the jobs.
     pub(crate) fn send_reports(&mut self) {
         let now_ms = self.now_ms;
         let mut calls = Vec::new();
@@ -390,7 +399,7 @@
                 if report.due_ms > now_ms {
                     continue;
                 }
-                report.due_ms = now_ms + REPORT_AGAIN_MS;
+                report.due_ms = now_ms + REPORT_RETRY_MS;
                 due.push((*attempt, report.worker.clone(), report.seen.clone()));
             }
             if !due.is_empty() {
@@ -405,11 +414,13 @@
             self.call_peer(PeerOp::Report { to: to.clone() }, &to, call);
         }
         let held = &self.held;
-        // What the worker itself still names is told again to whoever asks.
+        // Reports about tasks that now belong to another daemon, or whose worker isn't
+        // held here any more, are dropped. What the worker itself still lists is
+        // reported again to the daemon that inquires about it.
         self.remote.outbox.retain(|to, reports| {
             reports.retain(|attempt, report| {
-                let known = held.get(&report.worker).and_then(|held| held.tasks.get(attempt));
-                let moved = known.is_some_and(|known| known.coordinator != *to);
+                let tracked = held.get(&report.worker).and_then(|held| held.tasks.get(attempt));
+                let moved = tracked.is_some_and(|task| task.coordinator != *to);
                 !moved && held.contains_key(&report.worker)
             });
             !reports.is_empty()
@@ -430,7 +441,7 @@
                 continue;
             }
             attempts.push(attempt);
-            if ended && self.may_forget(attempt) {
+            if ended && self.can_acknowledge(attempt) {
                 let call = PeerCall::Acknowledge { attempts: vec![(attempt, worker)] };
                 self.call_peer(PeerOp::Notice, from, call);
             }
@@ -438,8 +449,8 @@
         PeerReply::Acknowledged { attempts, unknown }
     }
 
-    /// Whether nobody will ask again about an ended attempt.
-    fn may_forget(&self, attempt: AttemptId) -> bool {
+    /// Whether nobody will inquire about an ended attempt again.
+    fn can_acknowledge(&self, attempt: AttemptId) -> bool {
         match self.jobs.get(&attempt.job) {
             Some(job) => {
                 let repeatable = !job.machine.record.execution.needs_intent();
@@ -449,7 +460,7 @@
         }
     }
 
-    pub(crate) fn on_report_done(
+    pub(crate) fn on_report_reply(
         &mut self,
         to: &DaemonId,
         attempts: &[AttemptId],
@@ -461,7 +472,7 @@
             }
         }
         for attempt in unknown {
-            self.sweep.orphan(*attempt);
+            self.sweep.add_orphan(*attempt);
         }
     }
 }
--- a/crates/engine/src/seal.rs
+++ b/crates/engine/src/seal.rs
@@ -1,4 +1,4 @@
-//! Recorded requests without an answer: the minion is asked what became of them.
+//! Recorded requests without an answer: the minion is asked for their outcome.
 
 use stoatwell_model::AttemptId;
 use stoatwell_model::Class;
@@ -15,12 +15,12 @@
 use crate::ops::MinionOp;
 use crate::requests::not_run;
 
-/// Before a minion is asked again what became of a request.
-const SEAL_AGAIN_MS: u64 = 1_000;
+/// Delay before a minion is asked again for the outcome of a request.
+const SEAL_RETRY_MS: u64 = 1_000;
 
 impl Engine {
-    /// A recorded request went without an answer: it is not sent again, the
-    /// callers learn at once that nothing is known, and the minion is asked.
+    /// Handles a recorded request that got no answer: it isn't sent again, the callers
+    /// are told at once that its outcome is unknown, and the minion is asked for it.
     pub(crate) fn on_request_unanswered(&mut self, number: u64) {
         let Some(request) = self.requests.remove(&number) else {
             return;
@@ -31,7 +31,7 @@
         };
         job.request = None;
         job.inquire_ms = self.now_ms;
-        job.machine.note("the minion did not answer in time and is being asked".to_owned());
+        job.machine.note("the minion did not answer in time; asking it for the outcome".to_owned());
         let view = JobView {
             state: stoatwell_model::JobState::Unknown,
             outcome: Some(Outcome::Unknown {
@@ -43,7 +43,8 @@
         self.answer_waiters(id, &view);
     }
 
-    /// Asks the minion of a recorded request what became of it.
+    /// Asks the minion of a recorded request for its outcome; a minion that never
+    /// received it refuses it from then on.
     pub(crate) fn seal_request(&mut self, id: JobId) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -53,17 +54,17 @@
         {
             return;
         }
-        job.inquire_ms = now_ms + SEAL_AGAIN_MS;
+        job.inquire_ms = now_ms + SEAL_RETRY_MS;
         let Some(intent) = job.machine.record.intents.first().cloned() else {
             return;
         };
         let attempt = AttemptId { job: id, task: intent.task, attempt: intent.attempt };
-        let place = intent.minion.as_deref().and_then(|minion| minion.split_once('/'));
-        let Some((address, minion)) = place else {
+        let minion_address = intent.minion.as_deref().and_then(|minion| minion.split_once('/'));
+        let Some((address, minion)) = minion_address else {
             return;
         };
-        if self.is_gone(&intent.worker) {
-            let detail = format!("worker {} of its minion is gone", intent.worker);
+        if self.is_worker_gone(&intent.worker) {
+            let detail = format!("the minion's worker {} is lost", intent.worker);
             let outcome = Outcome::Unknown { code: Code::OutcomeUnknown, detail };
             return self.finish_request(id, outcome);
         }
@@ -85,7 +86,10 @@
             Ok(MinionReply::NeverStarted) => {
                 self.finish_request(
                     id,
-                    not_run(Code::NoMinion, "the minion never got it and refuses it now"),
+                    not_run(
+                        Code::NoMinion,
+                        "the minion never received the request and now refuses it",
+                    ),
                 );
             }
             Ok(MinionReply::Failed { reason }) => {
--- a/crates/engine/src/shutdown.rs
+++ b/crates/engine/src/shutdown.rs
@@ -1,4 +1,5 @@
-//! A planned stop: nothing new, nothing cut, everything handed over.
+//! Graceful shutdown: new work is refused, running requests are completed, and jobs and
+//! workers are handed over.
 
 use stoatwell_membership::assign;
 use stoatwell_model::Class;
@@ -14,7 +15,8 @@
             return;
         }
         self.stopping = true;
-        // Peers learn at once that workers and jobs come to them.
+        // The next heartbeats go out at once, so that peers know that they will receive
+        // workers and jobs.
         self.next_heartbeat_ms = 0;
         self.next_relay_ms = 0;
         self.on_tick();
@@ -24,20 +26,20 @@
         if !self.stopping || self.stopped {
             return;
         }
-        self.hand_jobs_over();
-        let handed_on = |op: &PeerOp| matches!(op, PeerOp::Forward { .. } | PeerOp::Pass(_));
-        let requests_done = self.requests.is_empty() && !self.ops.peer.values().any(handed_on);
-        let successor = !self.zone_peers().is_empty();
-        let jobs_done = self.jobs.values().all(|job| !successor && !job.machine.is_writing());
-        let idle = self.committer.backlog() == 0 && self.ops.minion.is_empty();
-        let released =
-            self.holdings.held() == 0 || !successor && self.held.values().all(|held| !held.calling);
-        self.stopped = requests_done && (jobs_done || self.jobs.is_empty()) && idle && released;
+        self.hand_over_jobs();
+        let is_forwarded = |op: &PeerOp| matches!(op, PeerOp::Forward { .. } | PeerOp::Pass(_));
+        let requests_done = self.requests.is_empty() && !self.ops.peer.values().any(is_forwarded);
+        let has_successor = !self.zone_peers().is_empty();
+        let jobs_done = self.jobs.values().all(|job| !has_successor && !job.machine.is_writing());
+        let is_idle = self.committer.backlog() == 0 && self.ops.minion.is_empty();
+        let released = self.holdings.held() == 0
+            || !has_successor && self.held.values().all(|held| !held.call_in_flight);
+        self.stopped = requests_done && (jobs_done || self.jobs.is_empty()) && is_idle && released;
     }
 
-    /// Gives each job to a living daemon of the zone. Running tasks go on; the
-    /// successor asks the new holders about them.
-    fn hand_jobs_over(&mut self) {
+    /// Hands each job over to a live daemon of the zone. Running tasks continue; the
+    /// successor asks the new holders of their workers about them.
+    fn hand_over_jobs(&mut self) {
         let peers = self.zone_peers();
         if peers.is_empty() {
             return;
@@ -45,9 +47,10 @@
         let mut ready = Vec::new();
         for (id, job) in &self.jobs {
             let record = &job.machine.record;
-            let in_line = record.class == Class::Request && job.request.is_some();
-            let settled = job.accepted && !job.machine.is_writing() && record.outcome.is_none();
-            if settled && !job.leaving && !in_line {
+            let is_open_request = record.class == Class::Request && job.request.is_some();
+            let is_quiescent =
+                job.accepted && !job.machine.is_writing() && record.outcome.is_none();
+            if is_quiescent && !job.leaving && !is_open_request {
                 ready.push(*id);
             }
         }
@@ -64,7 +67,8 @@
         }
     }
 
-    /// The record names the successor now.
+    /// The successor is durable in the job's record: notifies it and passes the waiting
+    /// callers on to it.
     pub(crate) fn on_handed_over(&mut self, id: JobId) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
--- a/crates/engine/src/sweep.rs
+++ b/crates/engine/src/sweep.rs
@@ -1,5 +1,5 @@
-//! Looking after what nobody looks after: jobs of dead daemons, tasks of
-//! finished jobs, and records whose time is over.
+//! Periodic cleanup: takes over jobs of dead daemons, ends tasks of finished jobs, and
+//! removes records whose retention time is over.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,32 +26,35 @@
 use crate::ops::StoreOp;
 use crate::submit::view_of_record;
 
-/// Open rows read at once.
-const OPEN_ROWS: u32 = 500;
-/// Jobs taken over at once; the rest follow in the next looks.
-const ADOPT_MAX: usize = 64;
-/// Finished jobs removed at once.
-const REMOVE_MAX: u32 = 32;
-/// Ended tasks of other daemons' jobs are looked after once they are this old.
-const ENDED_KEPT_MS: UnixMs = 30_000;
-/// A zone without a living daemon for this long is looked after by others.
+/// Maximum number of open rows read in one scan.
+const OPEN_ROWS_PER_SCAN: u32 = 500;
+/// Maximum number of job records read at once, for takeovers and for orphaned tasks;
+/// the rest follow in later sweeps.
+const TAKEOVER_BATCH: usize = 64;
+/// Maximum number of finished jobs removed at once.
+const REMOVAL_BATCH: u32 = 32;
+/// Age from which the jobs of ended tasks are checked although another daemon runs them.
+const ENDED_TASK_RETENTION_MS: UnixMs = 30_000;
+/// Time without a live daemon after which other zones scan a zone's jobs.
 const ZONE_DEAD_MS: UnixMs = 60_000;
 
-/// State of the looking after.
+/// State of the cleanup.
 #[derive(Debug, Default)]
 pub(crate) struct Sweep {
-    /// Writes on their way, by write id.
+    /// Job writes that await their result, by write id.
     pub(crate) writes: BTreeMap<u64, JobId>,
-    next_ms: UnixMs,
-    next_done_ms: UnixMs,
-    looking: bool,
+    next_scan_ms: UnixMs,
+    next_removal_ms: UnixMs,
+    scanning: bool,
     reading: bool,
     removing: bool,
+    /// Key of the last open row read; empty if the next scan starts at the first row.
     cursor: String,
+    /// Zone of the latest scan.
     zone: Option<ZoneName>,
     /// Jobs to take over.
     claims: BTreeSet<JobId>,
-    /// Attempts on held workers whose job nobody seems to run.
+    /// Attempts on held workers whose coordinator doesn't know the job.
     orphans: BTreeSet<AttemptId>,
 }
 
@@ -63,13 +66,13 @@
 }
 
 impl Sweep {
-    /// Takes these jobs over as soon as can be.
+    /// Queues jobs for takeover.
     pub(crate) fn claim(&mut self, jobs: Vec<JobId>) {
         self.claims.extend(jobs);
     }
 
-    /// Nobody knows the job of this attempt.
-    pub(crate) fn orphan(&mut self, attempt: AttemptId) {
+    /// Records an attempt whose coordinator doesn't know its job.
+    pub(crate) fn add_orphan(&mut self, attempt: AttemptId) {
         self.orphans.insert(attempt);
     }
 }
@@ -81,81 +84,86 @@
             return;
         }
         self.read_claims();
-        if now_ms >= self.sweep.next_ms && !self.sweep.looking {
-            self.sweep.next_ms = now_ms + self.settings.ledger.sweep_ms;
-            self.look_for_open();
-            self.look_for_orphans();
+        if now_ms >= self.sweep.next_scan_ms && !self.sweep.scanning {
+            self.sweep.next_scan_ms = now_ms + self.settings.ledger.sweep_ms;
+            self.scan_open_jobs();
+            self.find_orphans();
         }
-        let due = now_ms >= self.sweep.next_done_ms && !self.sweep.removing;
+        let due = now_ms >= self.sweep.next_removal_ms && !self.sweep.removing;
         if due && self.members.is_relay(now_ms) {
-            self.sweep.next_done_ms = now_ms + self.settings.ledger.sweep_ms;
+            self.sweep.next_removal_ms = now_ms + self.settings.ledger.sweep_ms;
             self.sweep.removing = true;
             let (prefix, after) = (rows::DONE.to_owned(), String::new());
             self.call_store(
                 StoreOp::SweepDone,
-                StoreCall::Scan { prefix, after, limit: REMOVE_MAX },
+                StoreCall::Scan { prefix, after, limit: REMOVAL_BATCH },
             );
         }
     }
 
-    fn look_for_open(&mut self) {
-        let zone = self.zone_to_look_after();
+    fn scan_open_jobs(&mut self) {
+        let zone = self.zone_to_scan();
         if self.sweep.zone.as_ref() != Some(&zone) {
             self.sweep.cursor.clear();
         }
         let prefix = rows::open_in(&zone);
         self.sweep.zone = Some(zone);
-        self.sweep.looking = true;
+        self.sweep.scanning = true;
         let after = self.sweep.cursor.clone();
-        self.call_store(StoreOp::SweepOpen, StoreCall::Scan { prefix, after, limit: OPEN_ROWS });
+        self.call_store(
+            StoreOp::SweepOpen,
+            StoreCall::Scan { prefix, after, limit: OPEN_ROWS_PER_SCAN },
+        );
     }
 
-    /// Mostly the own zone; the relay also looks after zones that are dead.
-    fn zone_to_look_after(&self) -> ZoneName {
+    /// The zone whose open jobs are scanned next: this one, or, on every second sweep of
+    /// the relay, a zone without live daemons.
+    fn zone_to_scan(&self) -> ZoneName {
         let own = self.me.zone.clone();
         let now_ms = self.now_ms;
         if !self.members.is_relay(now_ms) || !self.sweep.cursor.is_empty() {
             return own;
         }
-        let dead = |zone: &&ZoneName| {
+        let is_dead = |zone: &&ZoneName| {
             let heard_ms = self.zones.get(*zone).map_or(0, |state| state.heard_ms);
             let silent = now_ms >= heard_ms + ZONE_DEAD_MS;
             silent && self.members.live_in(now_ms, zone).next().is_none()
         };
-        // Every second look goes to a dead zone, if there is one.
-        let even = (now_ms / self.settings.ledger.sweep_ms.max(1)).is_multiple_of(2);
+        // Every second scan is of a dead zone, if there is one.
+        let is_even_sweep = (now_ms / self.settings.ledger.sweep_ms.max(1)).is_multiple_of(2);
         let zones = self.members.other_zones();
-        let found = zones.keys().copied().find(dead);
-        match found {
-            Some(zone) if even => zone.clone(),
+        let dead_zone = zones.keys().copied().find(is_dead);
+        match dead_zone {
+            Some(zone) if is_even_sweep => zone.clone(),
             _ => own,
         }
     }
 
     pub(crate) fn on_open_rows(&mut self, reply: Result<StoreReply, CallError>) {
-        self.sweep.looking = false;
+        self.sweep.scanning = false;
         let Ok(StoreReply::Rows { rows: found }) = reply else {
             return;
         };
-        let full = found.len() as u32 == OPEN_ROWS;
+        let is_full = found.len() as u32 == OPEN_ROWS_PER_SCAN;
         let last = found.last().map(|row| row.key.clone()).unwrap_or_default();
-        self.sweep.cursor = if full { last } else { String::new() };
+        self.sweep.cursor = if is_full { last } else { String::new() };
         let holders = self.members.holders(self.now_ms, self.stopping);
-        // Only the relay looks after another zone, so it takes all it finds there.
-        let abroad = self.sweep.zone.as_ref().is_some_and(|zone| *zone != self.me.zone);
+        // Only the relay scans another zone, so it takes over every job that it finds there.
+        let in_other_zone = self.sweep.zone.as_ref().is_some_and(|zone| *zone != self.me.zone);
         for row in found {
             let Ok(open) = serde_json::from_str::<rows::OpenRow>(&row.value) else {
                 continue;
             };
-            let mine = open.coordinator == self.me.daemon;
-            let known = self.jobs.contains_key(&open.job);
-            // A row in my name of a job that I do not know is from before my start.
-            let deserted = if mine { !known } else { !self.is_live(&open.coordinator) };
-            let chosen =
-                abroad || assign::winner(&open.job.to_string(), &holders) == Some(&self.me.daemon);
-            // One that I run by a row in another's name was taken over from me.
-            let taken = known && !mine;
-            if taken || (deserted && !known && (mine || chosen)) {
+            let is_own = open.coordinator == self.me.daemon;
+            let runs_here = self.jobs.contains_key(&open.job);
+            // A row that names this daemon but an unknown job is from before its restart.
+            let is_abandoned = if is_own { !runs_here } else { !self.is_live(&open.coordinator) };
+            let is_assigned = in_other_zone
+                || assign::winner(&open.job.to_string(), &holders) == Some(&self.me.daemon);
+            // A job that runs here although its row names another daemon was taken over
+            // by that one.
+            let taken_over = runs_here && !is_own;
+            if taken_over || (is_abandoned && !runs_here && (is_own || is_assigned)) {
                 self.sweep.claims.insert(open.job);
             }
         }
@@ -165,7 +173,7 @@
         if self.sweep.reading || self.sweep.claims.is_empty() {
             return;
         }
-        let jobs: Vec<JobId> = self.sweep.claims.iter().take(ADOPT_MAX).copied().collect();
+        let jobs: Vec<JobId> = self.sweep.claims.iter().take(TAKEOVER_BATCH).copied().collect();
         for job in &jobs {
             self.sweep.claims.remove(job);
         }
@@ -184,8 +192,8 @@
         }
     }
 
-    /// Makes this daemon the one that runs a job; the write fails if another
-    /// daemon was faster or the old one is alive and wrote since.
+    /// Makes this daemon the coordinator of a job. The write fails if another daemon was
+    /// faster, or if the previous one is alive and has written since.
     fn take_over(&mut self, row: &Row) {
         let Ok(record) = serde_json::from_str::<JobRecord>(&row.value) else {
             return;
@@ -200,8 +208,9 @@
         if record.outcome.is_some() {
             return;
         }
-        let others = record.coordinator != self.me.daemon;
-        if others && self.is_live(&record.coordinator) && !self.is_stopping(&record.coordinator) {
+        let is_foreign = record.coordinator != self.me.daemon;
+        if is_foreign && self.is_live(&record.coordinator) && !self.is_stopping(&record.coordinator)
+        {
             return;
         }
         let attempts_max =
@@ -213,8 +222,8 @@
         machine.hand_to(&self.me.daemon, &self.me.zone);
         machine.note(format!("taken over from daemon {former}"));
         let mut job = Job::new(machine, body);
-        // The new holders of the dead daemon's workers need this long to know
-        // what runs there.
+        // The new holders of the dead daemon's workers need this long to learn what
+        // runs on them.
         let settled_ms = self.now_ms + self.holdings.ttl_ms();
         job.find_ms = Some(settled_ms);
         job.inquire_ms = settled_ms;
@@ -232,7 +241,7 @@
 
     pub(crate) fn on_body_loaded(&mut self, id: JobId, reply: Result<StoreReply, CallError>) {
         let Ok(StoreReply::Object { body: Some(body) }) = reply else {
-            // Left for the next look.
+            // The next scan finds the job again.
             self.jobs.remove(&id);
             return;
         };
@@ -242,18 +251,20 @@
         self.write_job(id);
     }
 
-    /// Tasks on held workers whose coordinator is gone or does not know them.
-    fn look_for_orphans(&mut self) {
+    /// Reads the records of jobs with tasks on held workers that may be orphaned:
+    /// their coordinator doesn't know them, is this daemon, which doesn't run the job,
+    /// or they ended some time ago.
+    fn find_orphans(&mut self) {
         let mut jobs = BTreeSet::new();
         for held in self.held.values() {
-            for (attempt, known) in &held.tasks {
+            for (attempt, task) in &held.tasks {
                 if self.jobs.contains_key(&attempt.job) {
                     continue;
                 }
-                let mine = known.coordinator == self.me.daemon;
-                let ended_ms = known.ended_ms;
-                let old = ended_ms > 0 && self.now_ms >= ended_ms + ENDED_KEPT_MS;
-                if mine || old || self.sweep.orphans.contains(attempt) {
+                let is_own = task.coordinator == self.me.daemon;
+                let ended_ms = task.ended_ms;
+                let is_stale = ended_ms > 0 && self.now_ms >= ended_ms + ENDED_TASK_RETENTION_MS;
+                if is_own || is_stale || self.sweep.orphans.contains(attempt) {
                     jobs.insert(attempt.job);
                 }
             }
@@ -262,7 +273,7 @@
         if jobs.is_empty() {
             return;
         }
-        let jobs: Vec<JobId> = jobs.into_iter().take(ADOPT_MAX).collect();
+        let jobs: Vec<JobId> = jobs.into_iter().take(TAKEOVER_BATCH).collect();
         let keys = jobs.iter().map(|job| rows::job(*job)).collect();
         self.call_store(StoreOp::SweepOrphans(jobs), StoreCall::Read { keys });
     }
@@ -274,8 +285,8 @@
         for (job, row) in jobs.iter().zip(found) {
             let record: Option<JobRecord> = serde_json::from_str(&row.value).ok();
             match record {
-                // Open jobs find their tasks themselves once somebody runs them.
-                Some(record) if record.outcome.is_none() => self.keep_ended(*job),
+                // An open job finds its tasks itself once a daemon runs it.
+                Some(record) if record.outcome.is_none() => self.extend_retention(*job),
                 Some(record) => {
                     self.remember(view_of_record(record, Vec::new()));
                     self.clean_up_job_tasks(*job);
@@ -285,23 +296,24 @@
         }
     }
 
-    /// Ended tasks of an open job are kept for another while.
-    fn keep_ended(&mut self, job: JobId) {
+    /// Keeps the ended tasks of an open job for another [`ENDED_TASK_RETENTION_MS`].
+    fn extend_retention(&mut self, job: JobId) {
         let now_ms = self.now_ms;
         for held in self.held.values_mut() {
-            for (_, known) in held.tasks.range_mut(attempts_of(job)) {
-                known.ended_ms = if known.ended_ms > 0 { now_ms } else { 0 };
+            for (_, task) in held.tasks.range_mut(attempts_of(job)) {
+                task.ended_ms = if task.ended_ms > 0 { now_ms } else { 0 };
             }
         }
     }
 
-    /// Lets the workers held here forget a job's tasks, and stops what still runs for it.
+    /// Allows the workers held here to forget a job's ended tasks, and stops its running
+    /// ones.
     pub(crate) fn clean_up_job_tasks(&mut self, job: JobId) {
         let mut ended: BTreeMap<AttemptId, WorkerId> = BTreeMap::new();
         let mut running = Vec::new();
         for (worker, held) in &self.held {
-            for (attempt, known) in held.tasks.range(attempts_of(job)) {
-                if known.state.is_running() {
+            for (attempt, task) in held.tasks.range(attempts_of(job)) {
+                if task.state.is_running() {
                     running.push((worker.clone(), *attempt));
                 } else {
                     ended.insert(*attempt, worker.clone());
@@ -323,7 +335,8 @@
             rows::done_from(self.now_ms.saturating_sub(self.settings.ledger.retention_ms));
         let mut deletes = Vec::new();
         for row in &found {
-            // The hour in the key is when it finished; the whole hour must be over.
+            // The key holds the hour in which the job finished; the retention time must be
+            // over for the whole hour.
             if row.key >= kept_from {
                 break;
             }
@@ -337,8 +350,8 @@
         if deletes.is_empty() {
             return;
         }
-        // More may be waiting, so the next look comes at once.
-        self.sweep.next_done_ms = self.now_ms;
+        // There may be more rows, so the next removal is due immediately.
+        self.sweep.next_removal_ms = self.now_ms;
         let write_id = self.next_write_id();
         let write =
             Write { checks: Vec::new(), puts: Vec::new(), deletes, write_id, give_up_ms: None };
@@ -358,11 +371,11 @@
             StoreOp::Commit => self.on_commit_reply(&reply),
             StoreOp::Follow => self.on_follow(reply),
             StoreOp::Edit(ticket, edit) => self.on_edit_reply(ticket, edit, reply),
-            StoreOp::Question(ticket) => self.on_store_answer(ticket, reply),
-            StoreOp::List { whole } => self.on_list(whole, reply),
+            StoreOp::Question(ticket) => self.on_store_reply(ticket, reply),
+            StoreOp::List { whole } => self.on_instance_list(whole, reply),
             StoreOp::KeepBody(job) => self.on_body_kept(job, &reply),
             StoreOp::LoadBody(job) => self.on_body_loaded(job, reply),
-            StoreOp::Lookup(lookup) => self.on_looked_up(lookup, reply),
+            StoreOp::Lookup(lookup) => self.on_lookup_reply(lookup, reply),
             StoreOp::SweepOpen => self.on_open_rows(reply),
             StoreOp::SweepRead => self.on_claim_rows(reply),
             StoreOp::SweepDone => self.on_done_rows(reply),
--- a/crates/engine/src/worker_leases.rs
+++ b/crates/engine/src/worker_leases.rs
@@ -1,9 +1,9 @@
-//! Holding workers: leases, what the workers report, starts and stops.
+//! Leases on workers, the reports of held workers, and start and stop calls.
 //!
-//! Each worker gets one start or stop at a time, stops first, so that work
-//! which gives way has gone before the work it makes room for arrives. A start
-//! without an answer is sent again under the same attempt, which a worker
-//! starts once.
+//! Each worker receives one start or stop call at a time, stops first, so that
+//! evicted tasks are stopped before the tasks that replace them start. A start
+//! without a reply is sent again with the same attempt; a worker starts an attempt
+//! only once.
 
 use std::collections::BTreeMap;
 
@@ -30,44 +30,48 @@
 
 use crate::Engine;
 use crate::held_worker::HeldWorker;
-use crate::held_worker::Known;
+use crate::held_worker::TrackedTask;
 use crate::message::OpId;
 use crate::message::Seen;
 use crate::ops::WorkerOp;
 
-/// Starts in one call to a worker.
+/// Maximum number of starts in one call to a worker.
 const STARTS_PER_CALL: usize = 64;
-/// A gap between events after which leases are looked at before anything else.
-const PAUSE_MS: u64 = 200;
-/// Before a start or stop without an answer is sent again.
-const RETRY_MS: u64 = 200;
+/// Gap between two events that counts as a pause of the process; leases are checked
+/// before the next event is handled.
+const MIN_PAUSE_MS: u64 = 200;
+/// Delay before the next start or stop call to a worker after a failed or refused one.
+const CALL_RETRY_MS: u64 = 200;
 
 impl Engine {
-    /// A daemon that was paused past its leases finds out here, before it acts
-    /// on anything it believed.
-    pub(crate) fn check_leases(&mut self, tick: bool) {
-        // Between ticks only a pause makes leases lapse unseen.
-        if !tick && self.now_ms < self.leases_checked_ms + PAUSE_MS {
+    /// Drops expired leases. A daemon that was paused beyond the end of its leases
+    /// detects this here, before it acts on outdated state.
+    pub(crate) fn check_leases(&mut self, is_tick: bool) {
+        // Between ticks, a lease can expire unnoticed only during a pause.
+        if !is_tick && self.now_ms < self.leases_checked_ms + MIN_PAUSE_MS {
             return;
         }
         self.leases_checked_ms = self.now_ms;
         for worker in self.holdings.lapsed(self.now_ms) {
             self.holdings.drop_lease(&worker);
-            self.drop_worker(&worker);
+            self.remove_held_worker(&worker);
         }
     }
 
     pub(crate) fn renew_leases(&mut self) {
-        self.renew(None);
+        self.renew_due_leases(None);
     }
 
-    fn renew(&mut self, only: Option<&WorkerId>) {
+    /// Sends the lease calls that are due, for one worker or for all.
+    fn renew_due_leases(&mut self, only: Option<&WorkerId>) {
         let holders = self.members.holders(self.now_ms, self.stopping);
         let held = &self.held;
         let minions = &self.minions;
         let busy = |worker: &WorkerId| {
-            let working = held.get(worker).is_some_and(|held| held.calling || held.has_work());
-            working || minions.busy_on(worker) > 0
+            let has_calls = held
+                .get(worker)
+                .is_some_and(|held| held.call_in_flight || held.has_pending_calls());
+            has_calls || minions.busy_on(worker) > 0
         };
         for action in self.holdings.due(self.now_ms, &holders, only, busy) {
             self.send_lease_call(action);
@@ -94,8 +98,8 @@
                 self.call_worker(WorkerOp::Lease(worker.clone(), acknowledged), &worker, call);
             }
             HoldAction::Release { worker, token } => {
-                // From here on nothing is placed on it, whatever the answer.
-                self.drop_worker(&worker);
+                // Whatever the reply, nothing is placed on it from now on.
+                self.remove_held_worker(&worker);
                 let call = WorkerCall::Release { token };
                 self.call_worker(WorkerOp::Lease(worker.clone(), Vec::new()), &worker, call);
             }
@@ -106,7 +110,7 @@
         match self.ops.worker.remove(&op) {
             Some(WorkerOp::Lease(worker, acknowledged)) => {
                 self.on_lease_reply(&worker, &acknowledged, reply.ok());
-                self.renew(Some(&worker));
+                self.renew_due_leases(Some(&worker));
             }
             Some(WorkerOp::Start(worker, tasks)) => {
                 self.calls_due = true;
@@ -129,11 +133,11 @@
         let event = self.holdings.on_reply(self.now_ms, worker, reply.as_ref());
         match (event, reply) {
             (HoldEvent::Gained, Some(WorkerReply::Granted { state, .. })) => {
-                self.gain_worker(&state);
+                self.on_lease_gained(&state);
             }
             (HoldEvent::Renewed, Some(WorkerReply::Renewed { changes, minions, foreign, .. })) => {
                 self.minions.update(&minions);
-                self.note_foreign(worker, foreign);
+                self.update_foreign_usage(worker, foreign);
                 if let Some(held) = self.held.get_mut(worker) {
                     held.acks.retain(|attempt| !acknowledged.contains(attempt));
                     for attempt in acknowledged {
@@ -142,84 +146,85 @@
                 }
                 for report in changes {
                     if !acknowledged.contains(&report.attempt) {
-                        self.on_report(worker, &report);
+                        self.on_task_report(worker, &report);
                     }
                 }
             }
-            (HoldEvent::Lost, _) => self.drop_worker(worker),
+            (HoldEvent::Lost, _) => self.remove_held_worker(worker),
             _ => {}
         }
     }
 
-    /// Everything is known again from what the worker itself tells.
-    fn gain_worker(&mut self, state: &WorkerState) {
+    /// Rebuilds all state about a worker from what the worker itself reports.
+    fn on_lease_gained(&mut self, state: &WorkerState) {
         let worker = &state.worker;
-        self.drop_worker(worker);
+        self.remove_held_worker(worker);
         self.held.insert(worker.clone(), HeldWorker::new(state.token));
         let target = self.catalogue.target(worker).cloned();
         self.scheduler.put_worker(self.now_ms, state, target.as_ref());
         self.minions.put_worker(worker, &state.minions);
         for report in &state.tasks {
-            self.on_report(worker, report);
+            self.on_task_report(worker, report);
         }
         self.apply_target(worker);
         self.shares_due = true;
         self.schedule_due = true;
     }
 
-    /// The worker is not held any more, or its state is read anew.
-    fn drop_worker(&mut self, worker: &WorkerId) {
+    /// Removes the state of a worker that is no longer held or whose state is about
+    /// to be rebuilt.
+    fn remove_held_worker(&mut self, worker: &WorkerId) {
         let Some(held) = self.held.remove(worker) else {
             return;
         };
         self.scheduler.remove_worker(worker);
         self.minions.remove_worker(worker);
-        // What was never sent surely did not start. What was sent without an
-        // answer is asked of the next holder.
-        for start in held.starts {
+        // Starts that were never sent cannot have started. Those sent without a reply
+        // are left to an inquiry to the next holder.
+        for start in held.unsent_starts {
             self.notify_coordinator(start.attempt, worker, &start.coordinator, Seen::Absent);
         }
         self.shares_due = true;
     }
 
-    fn note_foreign(&mut self, worker: &WorkerId, foreign: Resources) {
-        let Some(slot) = self.scheduler.cell.worker_info(worker) else {
+    fn update_foreign_usage(&mut self, worker: &WorkerId, foreign: Resources) {
+        let Some(worker_info) = self.scheduler.cell.worker_info(worker) else {
             return;
         };
-        if slot.foreign != foreign {
-            let (rack, capacity) = (slot.rack.clone(), slot.capacity);
+        if worker_info.foreign != foreign {
+            let (rack, capacity) = (worker_info.rack.clone(), worker_info.capacity);
             self.scheduler.cell.put_worker(worker, &rack, capacity, foreign);
         }
     }
 
-    fn on_report(&mut self, worker: &WorkerId, report: &TaskReport) {
+    fn on_task_report(&mut self, worker: &WorkerId, report: &TaskReport) {
         let Some(held) = self.held.get_mut(worker) else {
             return;
         };
         let attempt = report.attempt;
-        let known = held.tasks.entry(attempt).or_insert_with(|| Known {
+        let task = held.tasks.entry(attempt).or_insert_with(|| TrackedTask {
             state: report.state.clone(),
             coordinator: report.coordinator.clone(),
             ended_ms: 0,
         });
-        if !report.state.is_running() && known.ended_ms == 0 {
-            known.ended_ms = self.now_ms;
+        if !report.state.is_running() && task.ended_ms == 0 {
+            task.ended_ms = self.now_ms;
         }
-        known.state = report.state.clone();
-        let coordinator = known.coordinator.clone();
-        held.sent.remove(&attempt);
+        task.state = report.state.clone();
+        let coordinator = task.coordinator.clone();
+        held.unanswered_starts.remove(&attempt);
         if report.state.is_running() {
-            self.count_running(worker, report);
+            self.record_running(worker, report);
         } else {
-            self.count_ended(worker, attempt, &report.state);
+            self.record_ended(worker, attempt, &report.state);
         }
         self.notify_coordinator(attempt, worker, &coordinator, Seen::State(report.state.clone()));
     }
 
-    fn count_running(&mut self, worker: &WorkerId, report: &TaskReport) {
-        let running = self.running_of(worker, report);
-        // Room promised for the same attempt on another worker is not needed.
-        self.remote.withdraw_promise(report.attempt);
+    fn record_running(&mut self, worker: &WorkerId, report: &TaskReport) {
+        let running = self.running_task(worker, report);
+        // A reservation for the same attempt on another worker is no longer needed.
+        self.remote.remove_grant(report.attempt);
         self.scheduler.adopt(report.attempt, running);
         let victims = self.scheduler.record_usage(self.now_ms, report.attempt, &report.usage);
         for victim in victims {
@@ -227,7 +232,7 @@
         }
     }
 
-    fn count_ended(&mut self, worker: &WorkerId, attempt: AttemptId, state: &TaskState) {
+    fn record_ended(&mut self, worker: &WorkerId, attempt: AttemptId, state: &TaskState) {
         let end = match state {
             TaskState::Done { .. } => TaskEnd::Succeeded,
             TaskState::Failed { .. } => TaskEnd::Failed,
@@ -237,9 +242,9 @@
         self.schedule_due = true;
     }
 
-    /// A task found on a worker, as the scheduler counts it. Of an entry that
-    /// is not in the catalogue any more the strictest is assumed.
-    fn running_of(&self, worker: &WorkerId, report: &TaskReport) -> Running {
+    /// The scheduler's record of a task that a worker reports. If its entry is no longer
+    /// in the catalogue, the strictest values are assumed.
+    fn running_task(&self, worker: &WorkerId, report: &TaskReport) -> Running {
         let name = stoatwell_model::EntryName::new(&report.entry);
         let entry = self.catalogue.work(&name);
         let target = self.catalogue.target(worker);
@@ -260,9 +265,10 @@
         }
     }
 
-    /// Queues a start on a worker that is held here. Only what has room set
-    /// aside starts: room that was given to urgent work meanwhile, or to nobody
-    /// because the attempt was told as never to start, would be used twice.
+    /// Queues a start on a worker that is held here. Returns `false` if the worker isn't
+    /// held or the attempt has no capacity allocated on it: if that was meanwhile given to
+    /// urgent work, or released because the attempt was reported as never started,
+    /// starting it would use the capacity twice.
     pub(crate) fn queue_start(&mut self, worker: &WorkerId, start: StartTask) -> bool {
         let running = self.scheduler.cell.running(start.attempt);
         if running.is_none_or(|running| running.worker != *worker) {
@@ -272,15 +278,15 @@
         let Some(held) = self.held.get_mut(worker) else {
             return false;
         };
-        // Room that was promised for this attempt is in use from now on.
-        self.remote.withdraw_promise(start.attempt);
-        if !held.knows(start.attempt) {
-            held.starts.push(start);
+        // The capacity granted for this attempt is in use from now on.
+        self.remote.remove_grant(start.attempt);
+        if !held.has_attempt(start.attempt) {
+            held.unsent_starts.push(start);
         }
         true
     }
 
-    /// Queues a stop on a worker that is held here.
+    /// Queues a stop on a worker that is held here; returns `false` if it is not held.
     pub(crate) fn queue_stop(
         &mut self,
         worker: &WorkerId,
@@ -291,63 +297,69 @@
         let Some(held) = self.held.get_mut(worker) else {
             return false;
         };
-        // Not sent yet, so it is simply left out.
-        if let Some(index) = held.starts.iter().position(|start| start.attempt == attempt) {
-            let start = held.starts.remove(index);
+        // The start has not been sent yet, so removing it is enough.
+        if let Some(index) = held.unsent_starts.iter().position(|start| start.attempt == attempt) {
+            let start = held.unsent_starts.remove(index);
             self.release_unstarted(attempt);
             self.notify_coordinator(attempt, worker, &start.coordinator, Seen::Absent);
             return true;
         }
-        let already = held.stops.iter().any(|(other, _)| *other == attempt);
-        if !already && (held.tasks.contains_key(&attempt) || held.sent.contains_key(&attempt)) {
+        let already_queued = held.stops.iter().any(|(other, _)| *other == attempt);
+        if !already_queued
+            && (held.tasks.contains_key(&attempt) || held.unanswered_starts.contains_key(&attempt))
+        {
             held.stops.push((attempt, mode));
         }
         true
     }
 
+    /// Releases the capacity of an attempt that never started, and schedules again.
     pub(crate) fn release_unstarted(&mut self, attempt: AttemptId) {
         self.scheduler.release_unstarted(self.now_ms, attempt);
         self.schedule_due = true;
     }
 
-    /// Sends what waits for each worker, one call at a time.
+    /// Sends the next start or stop call to each worker that has no call in flight.
     pub(crate) fn send_worker_calls(&mut self) {
         let mut ready = Vec::new();
         for (worker, held) in &self.held {
-            if !held.calling && held.has_work() && held.not_before_ms <= self.now_ms {
+            if !held.call_in_flight && held.has_pending_calls() && held.not_before_ms <= self.now_ms
+            {
                 ready.push(worker.clone());
             }
         }
         for worker in ready {
-            // The lease is looked at now, after any pause, not when the work was placed.
+            // The process may have paused since placement, so the lease is checked again.
             if let Some(token) = self.holdings.token(self.now_ms, &worker) {
-                self.call_one(&worker, token);
+                self.send_worker_call(&worker, token);
             }
         }
     }
 
-    fn call_one(&mut self, worker: &WorkerId, token: Token) {
+    fn send_worker_call(&mut self, worker: &WorkerId, token: Token) {
         let Some(held) = self.held.get_mut(worker) else {
             return;
         };
-        held.calling = true;
+        held.call_in_flight = true;
         if !held.stops.is_empty() {
             let mode = held.stops[0].1;
-            let (now, later): (Vec<_>, Vec<_>) =
+            let (same_mode, other_mode): (Vec<_>, Vec<_>) =
                 std::mem::take(&mut held.stops).into_iter().partition(|(_, other)| *other == mode);
-            held.stops = later;
-            let attempts: Vec<AttemptId> = now.into_iter().map(|(attempt, _)| attempt).collect();
+            held.stops = other_mode;
+            let attempts: Vec<AttemptId> =
+                same_mode.into_iter().map(|(attempt, _)| attempt).collect();
             let call = WorkerCall::Stop { token, attempts: attempts.clone(), mode };
             self.call_worker(WorkerOp::Stop(worker.clone(), attempts), worker, call);
             return;
         }
-        let mut tasks: Vec<StartTask> = held.sent.values().cloned().collect();
-        let room = STARTS_PER_CALL.saturating_sub(tasks.len());
-        let fresh: Vec<StartTask> = held.starts.drain(..room.min(held.starts.len())).collect();
-        for start in &fresh {
-            held.sent.insert(start.attempt, start.clone());
+        let mut tasks: Vec<StartTask> = held.unanswered_starts.values().cloned().collect();
+        let free_places = STARTS_PER_CALL.saturating_sub(tasks.len());
+        let new_starts: Vec<StartTask> =
+            held.unsent_starts.drain(..free_places.min(held.unsent_starts.len())).collect();
+        for start in &new_starts {
+            held.unanswered_starts.insert(start.attempt, start.clone());
         }
-        tasks.extend(fresh);
+        tasks.extend(new_starts);
         let call = WorkerCall::Start { token, tasks: tasks.clone() };
         self.call_worker(WorkerOp::Start(worker.clone(), tasks), worker, call);
     }
@@ -359,39 +371,39 @@
         reply: Result<WorkerReply, CallError>,
     ) {
         if let Some(held) = self.held.get_mut(worker) {
-            held.calling = false;
+            held.call_in_flight = false;
         }
         match reply {
             Ok(WorkerReply::Started { replies }) => {
                 for (start, reply) in tasks.into_iter().zip(replies) {
-                    self.on_one_started(worker, start, reply);
+                    self.on_start_result(worker, start, reply);
                 }
             }
             Ok(WorkerReply::NotHolder { token, .. }) => {
-                // Whether an earlier copy started is for the next holder to tell.
+                // Only the next holder can tell whether an earlier copy of the start took effect.
                 if self.holdings.on_fenced(worker, token) == HoldEvent::Lost {
-                    self.drop_worker(worker);
+                    self.remove_held_worker(worker);
                 }
             }
             Ok(_) | Err(_) => {
                 if let Some(held) = self.held.get_mut(worker) {
-                    held.not_before_ms = self.now_ms + RETRY_MS;
+                    held.not_before_ms = self.now_ms + CALL_RETRY_MS;
                 }
             }
         }
     }
 
-    fn on_one_started(&mut self, worker: &WorkerId, start: StartTask, reply: StartReply) {
+    fn on_start_result(&mut self, worker: &WorkerId, start: StartTask, reply: StartReply) {
         let attempt = start.attempt;
         let Some(held) = self.held.get_mut(worker) else {
             return;
         };
-        if held.sent.remove(&attempt).is_none() {
+        if held.unanswered_starts.remove(&attempt).is_none() {
             return;
         }
         match reply {
             StartReply::Started => {
-                held.tasks.entry(attempt).or_insert_with(|| Known {
+                held.tasks.entry(attempt).or_insert_with(|| TrackedTask {
                     state: TaskState::Running,
                     coordinator: start.coordinator.clone(),
                     ended_ms: 0,
@@ -404,7 +416,7 @@
                 );
             }
             StartReply::Refused { .. } => {
-                held.not_before_ms = self.now_ms + RETRY_MS;
+                held.not_before_ms = self.now_ms + CALL_RETRY_MS;
                 self.release_unstarted(attempt);
                 self.notify_coordinator(attempt, worker, &start.coordinator, Seen::Absent);
             }
@@ -420,27 +432,27 @@
         let Some(held) = self.held.get_mut(worker) else {
             return;
         };
-        held.calling = false;
+        held.call_in_flight = false;
         match reply {
             Ok(WorkerReply::Stopped) => {}
             Ok(WorkerReply::NotHolder { token, .. }) => {
                 if self.holdings.on_fenced(worker, token) == HoldEvent::Lost {
-                    self.drop_worker(worker);
+                    self.remove_held_worker(worker);
                 }
             }
             Ok(_) | Err(_) => {
-                held.not_before_ms = self.now_ms + RETRY_MS;
+                held.not_before_ms = self.now_ms + CALL_RETRY_MS;
                 held.stops
                     .extend(attempts.into_iter().map(|attempt| (attempt, StopMode::Checkpoint)));
             }
         }
     }
 
-    /// Lets a worker forget attempts whose outcome is kept elsewhere.
+    /// Allows the workers to forget ended attempts whose outcome is stored elsewhere.
     pub(crate) fn acknowledge(&mut self, attempts: &BTreeMap<AttemptId, WorkerId>) {
         for (attempt, worker) in attempts {
             if let Some(held) = self.held.get_mut(worker)
-                && held.tasks.get(attempt).is_some_and(|known| !known.state.is_running())
+                && held.tasks.get(attempt).is_some_and(|task| !task.state.is_running())
                 && !held.acks.contains(attempt)
             {
                 held.acks.push(*attempt);
--- a/crates/engine/src/zone_relay.rs
+++ b/crates/engine/src/zone_relay.rs
@@ -1,4 +1,4 @@
-//! News of zones, told only when they changed.
+//! Exchange of zone summaries between the relays of the zones, sent when they change.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -14,63 +14,72 @@
 use crate::message::PeerCall;
 use crate::message::ZoneNews;
 use crate::ops::PeerOp;
-use crate::peers::NEWS_REPEAT_MS;
+use crate::peers::NEWS_RESEND_MS;
 use crate::peers::ZoneState;
-use crate::peers::is_summary_news;
+use crate::peers::is_significant_summary_change;
 
-/// Exchanges that a relay waits for the other side's call before it calls itself.
-const RELAY_PATIENCE: u64 = 3;
+/// Number of relay intervals that a relay waits for a call from the other zone before
+/// it calls itself.
+const RELAY_WAIT_EXCHANGES: u64 = 3;
 
 impl Engine {
-    pub(crate) fn beat_relays(&mut self) {
-        let quiet_ms = self.settings.membership.relay_ms * RELAY_PATIENCE;
-        for (zone, daemon) in self.far_relays() {
-            // The answer carries the other side's news, so one of the two calls.
-            // The other one does so too when it has not been called for a while.
+    pub(crate) fn send_relay_heartbeats(&mut self) {
+        let quiet_ms = self.settings.membership.relay_ms * RELAY_WAIT_EXCHANGES;
+        for (zone, daemon) in self.other_zone_relays() {
+            // The reply carries the other zone's news, so one of the two relays calls
+            // and the other one only calls if it has not been called for a while.
             let heard_ms = self.zones.get(&zone).map_or(0, |state| state.heard_ms);
-            let waits = self.me.zone > zone && self.now_ms < heard_ms + quiet_ms;
-            if waits {
+            let waits_for_peer = self.me.zone > zone && self.now_ms < heard_ms + quiet_ms;
+            if waits_for_peer {
                 continue;
             }
-            let news = self.own_news_for(&zone);
+            let news = self.own_zone_news_for(&zone);
             let call = PeerCall::Heartbeat { beat: self.heartbeat(), news };
             self.call_peer(PeerOp::Heartbeat, &daemon, call);
         }
     }
 
-    /// The own zone's news for another zone, if they are due there.
-    pub(crate) fn own_news_for(&mut self, zone: &ZoneName) -> Vec<ZoneNews> {
+    /// The news of this zone for another zone; empty unless it changed significantly
+    /// or was last sent [`NEWS_RESEND_MS`] ago.
+    pub(crate) fn own_zone_news_for(&mut self, zone: &ZoneName) -> Vec<ZoneNews> {
         let news = self.own_zone_news();
-        if self.telling.zone_news.as_ref().is_none_or(|told| is_news(told, &news)) {
+        if self
+            .telling
+            .zone_news
+            .as_ref()
+            .is_none_or(|published| is_significant_change(published, &news))
+        {
             self.telling.zone_news = Some(news.clone());
-            self.telling.zone_changes += 1;
+            self.telling.zone_news_version += 1;
         }
-        let changes = self.telling.zone_changes;
-        let (told, told_ms) = self.telling.zones.get(zone).copied().unwrap_or_default();
-        if told == changes && self.now_ms < told_ms + NEWS_REPEAT_MS {
+        let version = self.telling.zone_news_version;
+        let (sent_version, sent_ms) =
+            self.telling.zone_news_sent.get(zone).copied().unwrap_or_default();
+        if sent_version == version && self.now_ms < sent_ms + NEWS_RESEND_MS {
             return Vec::new();
         }
-        self.telling.zones.insert(zone.clone(), (changes, self.now_ms));
+        self.telling.zone_news_sent.insert(zone.clone(), (version, self.now_ms));
         vec![news]
     }
 
-    /// One daemon of every other zone: the relay by that zone's own last word,
-    /// or, where nothing was heard of it, its listed daemons in turn.
-    pub(crate) fn far_relays(&self) -> Vec<(ZoneName, DaemonId)> {
-        let fresh_ms = self.settings.membership.silent_after_ms;
-        let turn = (self.now_ms / self.settings.membership.relay_ms.max(1)) as usize;
+    /// One daemon of every other zone: its relay according to the latest news of that
+    /// zone, or the listed daemons in rotation if there is no recent news.
+    pub(crate) fn other_zone_relays(&self) -> Vec<(ZoneName, DaemonId)> {
+        let max_age_ms = self.settings.membership.silent_after_ms;
+        let rotation = (self.now_ms / self.settings.membership.relay_ms.max(1)) as usize;
         let mut relays = Vec::new();
         for (zone, listed) in self.members.other_zones() {
-            let heard =
-                self.zones.get(zone).filter(|state| self.now_ms < state.heard_ms + fresh_ms);
-            let said = heard.into_iter().flat_map(|state| &state.news.daemons);
-            let relay = assign::winner(RELAY_KEY, said.map(|found| &found.daemon));
-            let relay = relay.or_else(|| listed.get(turn % listed.len()).copied());
+            let recent_state =
+                self.zones.get(zone).filter(|state| self.now_ms < state.heard_ms + max_age_ms);
+            let reported_daemons = recent_state.into_iter().flat_map(|state| &state.news.daemons);
+            let relay = assign::winner(RELAY_KEY, reported_daemons.map(|found| &found.daemon));
+            let relay = relay.or_else(|| listed.get(rotation % listed.len()).copied());
             relays.extend(relay.map(|daemon| (zone.clone(), daemon.clone())));
         }
         relays
     }
 
+    /// A summary over all live daemons of this zone.
     pub(crate) fn own_zone_news(&mut self) -> ZoneNews {
         let mut summary = self.summary();
         let mut daemons = vec![self.me.clone()];
@@ -83,17 +92,17 @@
         ZoneNews { zone: self.me.zone.clone(), age_ms: 0, daemons, revision, summary }
     }
 
-    /// News of other zones that this daemon has not been told.
-    pub(crate) fn news_for(&mut self, daemon: &DaemonId) -> Vec<ZoneNews> {
+    /// News of other zones that this daemon has not been sent, or not recently.
+    pub(crate) fn other_zone_news_for(&mut self, daemon: &DaemonId) -> Vec<ZoneNews> {
         let now_ms = self.now_ms;
         let mut news = Vec::new();
         for state in self.zones.values_mut() {
-            let (told_changes, told_ms) = state.told.get(daemon).copied().unwrap_or_default();
-            let due = told_changes != state.changes || now_ms >= told_ms + NEWS_REPEAT_MS;
+            let (sent_version, sent_ms) = state.sent.get(daemon).copied().unwrap_or_default();
+            let due = sent_version != state.version || now_ms >= sent_ms + NEWS_RESEND_MS;
             if !due {
                 continue;
             }
-            state.told.insert(daemon.clone(), (state.changes, now_ms));
+            state.sent.insert(daemon.clone(), (state.version, now_ms));
             let age_ms = now_ms.saturating_sub(state.heard_ms);
             news.push(ZoneNews { age_ms, ..state.news.clone() });
         }
@@ -107,16 +116,16 @@
             }
             let heard_ms = self.now_ms.saturating_sub(item.age_ms);
             let Some(state) = self.zones.get_mut(&item.zone) else {
-                let told = HashMap::new();
-                let state = ZoneState { news: item.clone(), heard_ms, changes: 1, told };
+                let sent = HashMap::new();
+                let state = ZoneState { news: item.clone(), heard_ms, version: 1, sent };
                 self.zones.insert(item.zone, state);
                 continue;
             };
             if heard_ms < state.heard_ms {
                 continue;
             }
-            if is_news(&state.news, &item) {
-                state.changes += 1;
+            if is_significant_change(&state.news, &item) {
+                state.version += 1;
             }
             state.heard_ms = heard_ms;
             state.news = item;
@@ -155,9 +164,9 @@
     sum.largest = sum.largest.max(&part.largest);
 }
 
-/// Whether the difference is worth telling.
-fn is_news(old: &ZoneNews, new: &ZoneNews) -> bool {
+/// Whether the difference is large enough to be sent.
+fn is_significant_change(old: &ZoneNews, new: &ZoneNews) -> bool {
     old.daemons != new.daemons
         || old.revision != new.revision
-        || is_summary_news(&old.summary, &new.summary)
+        || is_significant_summary_change(&old.summary, &new.summary)
 }
