--- a/crates/catalogue/src/edit.rs
+++ b/crates/catalogue/src/edit.rs
@@ -162,7 +162,7 @@
                 if target.is_none() && !matches!(change, TargetChange::Start { .. }) {
                     return Err(Failure::with_detail(Code::NoSuchTarget, worker));
                 }
-                let next = Target::after(target, worker, change);
+                let next = Target::transition(target, worker, change);
                 let next = next.ok_or_else(|| Failure::with_detail(Code::BadTransition, worker))?;
                 Ok(Some(Item::Target(next)))
             }
@@ -186,29 +186,32 @@
         if self.tries >= TRIES_MAX {
             return EditStep::Done(Err(Failure::new(Code::AcceptanceUnknown)));
         }
-        let call = StoreCall::Read { keys: vec![rows::change(change.revision)] };
+        let call = StoreCall::Read { keys: vec![rows::change_key(change.revision)] };
         self.phase = Phase::Confirming(change);
         EditStep::Call(call)
     }
 }
 
 fn read(key: &str) -> StoreCall {
-    StoreCall::Read { keys: vec![rows::HEAD.to_owned(), rows::item(key)] }
+    StoreCall::Read { keys: vec![rows::HEAD.to_owned(), rows::item_key(key)] }
 }
 
 fn transaction(change: &Change, head_version: u64) -> Transaction {
     let head = rows::Head { revision: change.revision };
     let mut transaction = Transaction {
         checks: vec![Check { key: rows::HEAD.to_owned(), version: head_version }],
-        puts: vec![put(rows::HEAD.to_owned(), &head), put(rows::change(change.revision), change)],
+        puts: vec![
+            put(rows::HEAD.to_owned(), &head),
+            put(rows::change_key(change.revision), change),
+        ],
         deletes: Vec::new(),
     };
     match &change.item {
         Some(item) => {
             let versioned = Versioned { revision: change.revision, item: item.clone() };
-            transaction.puts.push(put(rows::item(&change.key), &versioned));
+            transaction.puts.push(put(rows::item_key(&change.key), &versioned));
         }
-        None => transaction.deletes.push(rows::item(&change.key)),
+        None => transaction.deletes.push(rows::item_key(&change.key)),
     }
     transaction
 }
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -2,13 +2,13 @@
 //!
 //! Every accepted change raises one revision for the whole catalogue.
 //! [`Catalogue`] is what a daemon has in force, [`edit`] makes one change in
-//! the platform's table, [`follow`] keeps up with the table, and
+//! the platform's table, [`watcher`] keeps up with the table, and
 //! [`document`] reads what operators write.
 
 pub mod document;
 pub mod edit;
-pub mod follow;
 pub mod rows;
+pub mod watcher;
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -25,7 +25,7 @@
 
 pub use edit::Edit;
 pub use edit::EditRequest;
-pub use follow::Follow;
+pub use watcher::CatalogueWatcher;
 
 /// Changes kept for peers and for the history; older ones come as a snapshot.
 const LOG_CHANGES_MAX: usize = 512;
@@ -70,7 +70,7 @@
 
 /// What one daemon tells another that is behind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum CatalogueUpdate {
     /// All changes since the revision that was asked for.
     Changes(Vec<Change>),
     /// The whole catalogue, where the changes are not kept any more.
@@ -136,30 +136,30 @@
     }
 
     /// Takes what another daemon told; says whether anything changed.
-    pub fn take(&mut self, news: News) -> bool {
+    pub fn merge(&mut self, news: CatalogueUpdate) -> bool {
         match news {
-            News::Changes(changes) => {
+            CatalogueUpdate::Changes(changes) => {
                 let before = self.revision;
                 for change in changes {
                     self.apply(change);
                 }
                 self.revision > before
             }
-            News::Snapshot(snapshot) => self.replace(snapshot),
+            CatalogueUpdate::Snapshot(snapshot) => self.replace(snapshot),
         }
     }
 
     /// What a daemon at `revision` lacks.
-    pub fn since(&self, revision: u64) -> News {
+    pub fn updates_since(&self, revision: u64) -> CatalogueUpdate {
         if revision >= self.revision {
-            return News::Changes(Vec::new());
+            return CatalogueUpdate::Changes(Vec::new());
         }
         let kept = self.log.front().is_some_and(|oldest| oldest.revision <= revision + 1);
         if !kept {
-            return News::Snapshot(self.snapshot());
+            return CatalogueUpdate::Snapshot(self.snapshot());
         }
         let newer = self.log.iter().filter(|change| change.revision > revision);
-        News::Changes(newer.cloned().collect())
+        CatalogueUpdate::Changes(newer.cloned().collect())
     }
 
     /// The whole catalogue.
@@ -215,7 +215,7 @@
     }
 
     /// All work entries.
-    pub fn works(&self) -> impl Iterator<Item = &WorkEntry> {
+    pub fn work_entries(&self) -> impl Iterator<Item = &WorkEntry> {
         self.items.values().filter_map(|versioned| match &versioned.item {
             Item::Work(work) => Some(work),
             Item::Owner(_) | Item::Target(_) => None,
--- a/crates/catalogue/src/rows.rs
+++ b/crates/catalogue/src/rows.rs
@@ -22,12 +22,12 @@
 }
 
 /// The row of an item.
-pub fn item(key: &str) -> String {
+pub fn item_key(key: &str) -> String {
     format!("{ITEMS}{key}")
 }
 
 /// The row of a change.
-pub fn change(revision: u64) -> String {
+pub fn change_key(revision: u64) -> String {
     format!("{CHANGES}{revision:020}")
 }
 
--- a/crates/catalogue/src/follow.rs
+++ b/crates/catalogue/src/watcher.rs
@@ -20,7 +20,7 @@
 
 /// Where the following stands.
 #[derive(Clone, Debug)]
-pub struct Follow {
+pub struct CatalogueWatcher {
     poll_ms: u64,
     next_ms: UnixMs,
     phase: Phase,
@@ -36,7 +36,7 @@
     Items(Snapshot),
 }
 
-impl Follow {
+impl CatalogueWatcher {
     /// Starts with the first poll due at once.
     pub fn new(poll_ms: u64) -> Self {
         Self { poll_ms, next_ms: 0, phase: Phase::Idle, confirmed_ms: 0, head: 0 }
@@ -48,7 +48,7 @@
     }
 
     /// Makes the next poll due now, because somebody told of a change.
-    pub fn hurry(&mut self) {
+    pub fn poll_now(&mut self) {
         self.next_ms = 0;
     }
 
@@ -103,7 +103,7 @@
             return Some(scan(rows::ITEMS, String::new()));
         }
         self.phase = Phase::Changes;
-        Some(scan(rows::CHANGES, rows::change(have)))
+        Some(scan(rows::CHANGES, rows::change_key(have)))
     }
 
     fn on_items(
@@ -128,7 +128,7 @@
         // changes since that head are fetched next and write the same again.
         catalogue.replace(snapshot);
         self.phase = Phase::Changes;
-        scan(rows::CHANGES, rows::change(catalogue.revision()))
+        scan(rows::CHANGES, rows::change_key(catalogue.revision()))
     }
 
     fn confirm(&mut self, now_ms: UnixMs, catalogue: &Catalogue) {
--- a/crates/catalogue/tests/changes.rs
+++ b/crates/catalogue/tests/changes.rs
@@ -1,10 +1,10 @@
 //! Changes under races, lost answers and stale peers.
 
 use stoatwell_catalogue::Catalogue;
+use stoatwell_catalogue::CatalogueUpdate;
+use stoatwell_catalogue::CatalogueWatcher;
 use stoatwell_catalogue::Change;
-use stoatwell_catalogue::Follow;
 use stoatwell_catalogue::Item;
-use stoatwell_catalogue::News;
 use stoatwell_catalogue::edit::Edit;
 use stoatwell_catalogue::edit::EditKind;
 use stoatwell_catalogue::edit::EditRequest;
@@ -170,8 +170,8 @@
     ahead.apply(run(&mut table, target_request(start("nyaysetu"), None, 1)).expect("accepted"));
     let outdated = ahead.snapshot();
     ahead.apply(run(&mut table, target_request(TargetChange::Drain, None, 2)).expect("accepted"));
-    assert!(!ahead.take(News::Snapshot(outdated)));
-    assert!(!ahead.take(ahead.since(2)));
+    assert!(!ahead.merge(CatalogueUpdate::Snapshot(outdated)));
+    assert!(!ahead.merge(ahead.updates_since(2)));
     let state = ahead.target(&WorkerId::new("w1")).map(|target| target.state);
     assert_eq!((ahead.revision(), state), (2, Some(TargetState::Draining)));
 }
@@ -185,7 +185,7 @@
         run(&mut table, target_request(change, None, write_id as u64)).expect("accepted");
     }
     let mut catalogue = Catalogue::default();
-    let mut follow = Follow::new(1_000);
+    let mut follow = CatalogueWatcher::new(1_000);
     let mut call = follow.due(0);
     let mut calls = 0;
     while let Some(next) = call {
@@ -208,18 +208,18 @@
 fn target_changes_hands_step_by_step() {
     let worker = WorkerId::new("w1");
     let (old, new) = (OwnerName::new("nyaysetu"), OwnerName::new("bluebonnet"));
-    let serving = Target::after(None, &worker, &start("nyaysetu")).expect("new targets start");
+    let serving = Target::transition(None, &worker, &start("nyaysetu")).expect("new targets start");
     assert!(serving.serves(&old) && !serving.serves(&new));
     let draining =
-        Target::after(Some(&serving), &worker, &start("bluebonnet")).expect("it drains first");
+        Target::transition(Some(&serving), &worker, &start("bluebonnet")).expect("it drains first");
     assert!(!draining.serves(&old) && !draining.serves(&new));
     let handed =
-        Target::after(Some(&draining), &worker, &TargetChange::Emptied).expect("it is empty");
+        Target::transition(Some(&draining), &worker, &TargetChange::Emptied).expect("it is empty");
     assert!(handed.serves(&new) && !handed.serves(&old));
     assert_eq!([serving.epoch, draining.epoch, handed.epoch], [1, 2, 3]);
-    assert_eq!(Target::after(Some(&serving), &worker, &TargetChange::Emptied), None);
-    assert_eq!(Target::after(None, &worker, &TargetChange::Drain), None);
-    let kept = Target::after(Some(&draining), &worker, &start("nyaysetu"))
+    assert_eq!(Target::transition(Some(&serving), &worker, &TargetChange::Emptied), None);
+    assert_eq!(Target::transition(None, &worker, &TargetChange::Drain), None);
+    let kept = Target::transition(Some(&draining), &worker, &start("nyaysetu"))
         .expect("the old owner takes it back");
     assert!(kept.serves(&old), "a change of mind before it is empty needs no second hand-over");
     assert!(matches!(Item::Target(kept), Item::Target(_)));
--- a/crates/catalogue/tests/document.rs
+++ b/crates/catalogue/tests/document.rs
@@ -43,7 +43,7 @@
         let (begin, end) = (format!("<!-- begin {name} -->\n"), format!("<!-- end {name} -->"));
         let (before, rest) = page.split_once(&begin).expect("the begin mark");
         let (table, after) = rest.split_once(&end).expect("the end mark");
-        let expected = stoatwell_schema::page(fields);
+        let expected = stoatwell_schema::markdown_table(fields);
         if std::env::var_os("UPDATE_DOCS").is_none() {
             assert_eq!(
                 table, expected,
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -60,7 +60,7 @@
 
 fn print_settings(matches: &ArgMatches) -> ExitCode {
     if matches.get_flag("page") {
-        print!("{}", stoatwell_settings::page());
+        print!("{}", stoatwell_settings::markdown_table());
     } else {
         println!("{}", stoatwell_settings::defaults());
     }
--- a/crates/engine/src/catalogue.rs
+++ b/crates/engine/src/catalogue.rs
@@ -82,7 +82,7 @@
             // Accepted means in force here at once where nothing lies between;
             // otherwise the missing changes are fetched without delay.
             if !self.catalogue.apply(change.clone()) {
-                self.follow.hurry();
+                self.follow.poll_now();
             }
             self.tell_zone_of_change();
         }
@@ -158,7 +158,7 @@
             let quota = owner.quota.share(part, whole);
             self.scheduler.set_owner(&owner.owner, Some(quota), owner.weights);
         }
-        for work in self.catalogue.works() {
+        for work in self.catalogue.work_entries() {
             let ranks = here.get(&work.owner).map_or(&[][..], Vec::as_slice);
             let whole = all.get(&work.owner).copied().unwrap_or(0);
             let tasks = ranks_share(work.limits.running_tasks, ranks, whole);
--- a/crates/engine/src/commit.rs
+++ b/crates/engine/src/commit.rs
@@ -28,16 +28,16 @@
         let version = job.machine.version;
         let former_zone = job.machine.former_zone().cloned();
         let record = job.machine.begin_write(write_id);
-        let mut write = rows::write(record, version, former_zone.as_ref());
+        let mut write = rows::record_write(record, version, former_zone.as_ref());
         if !job.accepted {
-            write.give_up_ms = Some(job.accept_until_ms);
+            write.expires_ms = Some(job.accept_until_ms);
         }
         self.sweep.writes.insert(write_id, id);
         self.committer.submit(write_id, write);
     }
 
     pub(crate) fn commit(&mut self) {
-        let given_up = self.committer.give_up(self.now_ms);
+        let given_up = self.committer.take_expired(self.now_ms);
         self.on_commit_results(given_up);
         if let Some(transaction) = self.committer.due(self.now_ms) {
             self.call_store(StoreOp::Commit, StoreCall::Transact(transaction));
--- a/crates/engine/src/dump.rs
+++ b/crates/engine/src/dump.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 use stoatwell_ledger::committer::CommitStats;
-use stoatwell_membership::holding::HoldState;
+use stoatwell_membership::lease::LeaseState;
 use stoatwell_model::DaemonId;
 use stoatwell_model::JobState;
 use stoatwell_model::Resources;
@@ -210,8 +210,8 @@
         for (worker, holding) in self.holdings.all() {
             let slot = self.scheduler.cell.worker_info(worker);
             let lease_left_ms = match holding.state {
-                HoldState::Mine { until_ms } => Some(until_ms.saturating_sub(self.now_ms)),
-                HoldState::Other => None,
+                LeaseState::Mine { until_ms } => Some(until_ms.saturating_sub(self.now_ms)),
+                LeaseState::Other => None,
             };
             workers.push(WorkerDump {
                 worker: worker.clone(),
@@ -276,8 +276,8 @@
                 daemon: member.identity.daemon.clone(),
                 zone: member.identity.zone.clone(),
                 address: member.identity.peer_address.clone(),
-                heard_ms_ago: (member.heard_ms > 0)
-                    .then(|| self.now_ms.saturating_sub(member.heard_ms)),
+                heard_ms_ago: (member.last_heartbeat_ms > 0)
+                    .then(|| self.now_ms.saturating_sub(member.last_heartbeat_ms)),
                 revision: member.revision,
                 stopping: member.stopping,
             });
--- a/crates/engine/src/holders.rs
+++ b/crates/engine/src/holders.rs
@@ -7,8 +7,8 @@
 
 use std::collections::BTreeMap;
 
-use stoatwell_membership::HoldAction;
-use stoatwell_membership::HoldEvent;
+use stoatwell_membership::LeaseAction;
+use stoatwell_membership::LeaseEvent;
 use stoatwell_model::AttemptId;
 use stoatwell_model::Class;
 use stoatwell_model::Execution;
@@ -51,7 +51,7 @@
             return;
         }
         self.leases_checked_ms = self.now_ms;
-        for worker in self.holdings.lapsed(self.now_ms) {
+        for worker in self.holdings.expired(self.now_ms) {
             self.holdings.drop_lease(&worker);
             self.drop_worker(&worker);
         }
@@ -74,14 +74,14 @@
         }
     }
 
-    fn send_lease_call(&mut self, action: HoldAction) {
+    fn send_lease_call(&mut self, action: LeaseAction) {
         let ttl_ms = self.holdings.ttl_ms();
         match action {
-            HoldAction::Acquire { worker, token } => {
+            LeaseAction::Acquire { worker, token } => {
                 let call = WorkerCall::Acquire { holder: self.me.daemon.clone(), token, ttl_ms };
                 self.call_worker(WorkerOp::Lease(worker.clone(), Vec::new()), &worker, call);
             }
-            HoldAction::Renew { worker, token, since } => {
+            LeaseAction::Renew { worker, token, since } => {
                 let acknowledged =
                     self.held.get(&worker).map(|held| held.acks.clone()).unwrap_or_default();
                 let call = WorkerCall::Renew {
@@ -93,7 +93,7 @@
                 };
                 self.call_worker(WorkerOp::Lease(worker.clone(), acknowledged), &worker, call);
             }
-            HoldAction::Release { worker, token } => {
+            LeaseAction::Release { worker, token } => {
                 // From here on nothing is placed on it, whatever the answer.
                 self.drop_worker(&worker);
                 let call = WorkerCall::Release { token };
@@ -128,10 +128,10 @@
     ) {
         let event = self.holdings.on_reply(self.now_ms, worker, reply.as_ref());
         match (event, reply) {
-            (HoldEvent::Gained, Some(WorkerReply::Granted { state, .. })) => {
+            (LeaseEvent::Acquired, Some(WorkerReply::Granted { state, .. })) => {
                 self.gain_worker(&state);
             }
-            (HoldEvent::Renewed, Some(WorkerReply::Renewed { changes, minions, foreign, .. })) => {
+            (LeaseEvent::Renewed, Some(WorkerReply::Renewed { changes, minions, foreign, .. })) => {
                 self.minions.update(&minions);
                 self.note_foreign(worker, foreign);
                 if let Some(held) = self.held.get_mut(worker) {
@@ -146,7 +146,7 @@
                     }
                 }
             }
-            (HoldEvent::Lost, _) => self.drop_worker(worker),
+            (LeaseEvent::Lost, _) => self.drop_worker(worker),
             _ => {}
         }
     }
@@ -369,7 +369,7 @@
             }
             Ok(WorkerReply::NotHolder { token, .. }) => {
                 // Whether an earlier copy started is for the next holder to tell.
-                if self.holdings.on_fenced(worker, token) == HoldEvent::Lost {
+                if self.holdings.on_fenced(worker, token) == LeaseEvent::Lost {
                     self.drop_worker(worker);
                 }
             }
@@ -419,7 +419,7 @@
         match reply {
             Ok(WorkerReply::Stopped) => {}
             Ok(WorkerReply::NotHolder { token, .. }) => {
-                if self.holdings.on_fenced(worker, token) == HoldEvent::Lost {
+                if self.holdings.on_fenced(worker, token) == LeaseEvent::Lost {
                     self.drop_worker(worker);
                 }
             }
--- a/crates/engine/src/jobs.rs
+++ b/crates/engine/src/jobs.rs
@@ -82,7 +82,7 @@
                 JobEffect::Enqueue(attempts) => self.enqueue(id, attempts),
                 JobEffect::Start(attempts) => self.start(id, &attempts),
                 JobEffect::Stop(attempts) => self.stop(id, &attempts),
-                JobEffect::Withdraw => {
+                JobEffect::Dequeue => {
                     self.scheduler.withdraw(id);
                     self.drop_waiting_request(id);
                 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -35,9 +35,9 @@
 use std::collections::VecDeque;
 
 use stoatwell_catalogue::Catalogue;
-use stoatwell_catalogue::Follow;
+use stoatwell_catalogue::CatalogueWatcher;
 use stoatwell_ledger::Committer;
-use stoatwell_membership::Holdings;
+use stoatwell_membership::LeaseTable;
 use stoatwell_membership::Members;
 use stoatwell_model::JobId;
 use stoatwell_model::UnixMs;
@@ -96,7 +96,7 @@
     write_ids: u64,
 
     catalogue: Catalogue,
-    follow: Follow,
+    follow: CatalogueWatcher,
     applied_revision: u64,
     /// Whether shares of quotas have to be worked out anew.
     shares_due: bool,
@@ -113,7 +113,7 @@
     worker_zones: HashMap<WorkerId, ZoneName>,
     gone: BTreeMap<WorkerId, UnixMs>,
 
-    holdings: Holdings,
+    holdings: LeaseTable,
     held: BTreeMap<WorkerId, Held>,
     remote: Remote,
 
@@ -145,7 +145,7 @@
     pub fn new(me: Identity, settings: Settings, now_ms: UnixMs) -> Self {
         let policy = Policy { reserve_ms: settings.queue.gang_reserve_ms, ..Policy::default() };
         let leases = &settings.leases;
-        let holdings = Holdings::new(
+        let holdings = LeaseTable::new(
             me.daemon.clone(),
             leases.ttl_ms,
             leases.renew_wait_ms,
@@ -160,7 +160,7 @@
             ops: Ops::default(),
             write_ids: xxh3_64(seed.as_bytes()),
             catalogue: Catalogue::default(),
-            follow: Follow::new(settings.catalogue.poll_ms),
+            follow: CatalogueWatcher::new(settings.catalogue.poll_ms),
             applied_revision: 0,
             shares_due: false,
             retargeting: BTreeMap::new(),
@@ -288,7 +288,7 @@
     /// Whether work that has to be recorded is refused at once: the store has not
     /// answered for a while, so waiting for it would end in an unknown.
     fn refuses_records(&self) -> bool {
-        self.committer.refuses() || self.store_failures >= STORE_FAILURES_MAX
+        self.committer.is_failing() || self.store_failures >= STORE_FAILURES_MAX
     }
 
     fn next_write_id(&mut self) -> u64 {
--- a/crates/engine/src/lookup.rs
+++ b/crates/engine/src/lookup.rs
@@ -90,10 +90,10 @@
             Lookup::Status { job, .. } | Lookup::Cancel { job, .. } => *job,
             Lookup::Resubmission { key, submission, .. } => {
                 let owner = self.catalogue.work(&submission.entry).map(|entry| entry.owner.clone());
-                JobId::of_key(&owner.unwrap_or_else(|| OwnerName::new("")), key)
+                JobId::from_key(&owner.unwrap_or_else(|| OwnerName::new("")), key)
             }
         };
-        let call = StoreCall::Read { keys: vec![stoatwell_ledger::rows::job(job)] };
+        let call = StoreCall::Read { keys: vec![stoatwell_ledger::rows::job_key(job)] };
         self.call_store(StoreOp::Lookup(lookup), call);
     }
 
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -2,8 +2,8 @@
 
 use serde::Deserialize;
 use serde::Serialize;
+use stoatwell_catalogue::CatalogueUpdate;
 use stoatwell_catalogue::Change;
-use stoatwell_catalogue::News;
 use stoatwell_catalogue::edit::EditKind;
 use stoatwell_model::AttemptId;
 use stoatwell_model::Class;
@@ -314,7 +314,7 @@
         news: Vec<ZoneNews>,
     },
     /// What changed.
-    News(News),
+    News(CatalogueUpdate),
     /// How a job is.
     Job(Result<JobView, Failure>),
     /// Room that was set aside.
--- a/crates/engine/src/news.rs
+++ b/crates/engine/src/news.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-use stoatwell_membership::assign;
 use stoatwell_membership::members::RELAY_KEY;
+use stoatwell_membership::rendezvous;
 use stoatwell_model::DaemonId;
 use stoatwell_model::ZoneName;
 use stoatwell_model::peer::OwnerSummary;
@@ -64,7 +64,7 @@
             let heard =
                 self.zones.get(zone).filter(|state| self.now_ms < state.heard_ms + fresh_ms);
             let said = heard.into_iter().flat_map(|state| &state.news.daemons);
-            let relay = assign::winner(RELAY_KEY, said.map(|found| &found.daemon));
+            let relay = rendezvous::select(RELAY_KEY, said.map(|found| &found.daemon));
             let relay = relay.or_else(|| listed.get(turn % listed.len()).copied());
             relays.extend(relay.map(|daemon| (zone.clone(), daemon.clone())));
         }
@@ -75,7 +75,7 @@
         let mut summary = self.summary();
         let mut daemons = vec![self.me.clone()];
         let mut revision = self.catalogue.revision();
-        for member in self.members.live_in(self.now_ms, &self.me.zone) {
+        for member in self.members.live_in_zone(self.now_ms, &self.me.zone) {
             daemons.push(member.identity.clone());
             revision = revision.max(member.revision);
             add_summary(&mut summary, &member.summary);
--- a/crates/engine/src/peers.rs
+++ b/crates/engine/src/peers.rs
@@ -6,8 +6,8 @@
 
 use std::collections::HashMap;
 
-use stoatwell_catalogue::News;
-use stoatwell_membership::assign;
+use stoatwell_catalogue::CatalogueUpdate;
+use stoatwell_membership::rendezvous;
 use stoatwell_model::DaemonId;
 use stoatwell_model::OwnerName;
 use stoatwell_model::Resources;
@@ -164,11 +164,11 @@
                 PeerReply::Heartbeat { beat, news }
             }
             PeerCall::CatalogueSince { revision } => {
-                PeerReply::News(self.catalogue.since(revision))
+                PeerReply::News(self.catalogue.updates_since(revision))
             }
             PeerCall::Changed { revision } => {
                 if revision > self.catalogue.revision() {
-                    self.follow.hurry();
+                    self.follow.poll_now();
                     self.poll_catalogue();
                 }
                 PeerReply::Noted
@@ -225,8 +225,8 @@
         }
     }
 
-    fn on_catalogue_news(&mut self, news: News) {
-        if self.catalogue.take(news) {
+    fn on_catalogue_news(&mut self, news: CatalogueUpdate) {
+        if self.catalogue.merge(news) {
             self.tell_zone_of_change();
         }
     }
@@ -274,7 +274,7 @@
                 InstanceKind::Entry => {}
             }
         }
-        self.members.on_list(self.now_ms, &daemons);
+        self.members.update_instances(self.now_ms, &daemons);
         let list_bytes = (daemons.len() + zones.len()) as u64 * INSTANCE_BYTES;
         let paced_ms = list_bytes * 1_000 / LIST_BYTES_PER_SECOND;
         self.next_list_ms = self.next_list_ms.max(self.now_ms + paced_ms);
@@ -284,7 +284,7 @@
         }
         self.worker_zones = zones;
         self.note_gone(whole);
-        self.holdings.on_list(workers);
+        self.holdings.update_workers(workers);
     }
 
     /// Where a daemon's peers reach it.
@@ -302,7 +302,7 @@
 
     /// Other daemons of this zone that were heard of late.
     pub(crate) fn zone_peers(&self) -> Vec<DaemonId> {
-        let live = self.members.live_in(self.now_ms, &self.me.zone);
+        let live = self.members.live_in_zone(self.now_ms, &self.me.zone);
         live.map(|member| member.identity.daemon.clone()).collect()
     }
 
@@ -318,7 +318,7 @@
     /// Whether a daemon was heard once and is not heard any more. One that was
     /// never heard may only be new here.
     pub(crate) fn is_silent(&self, daemon: &DaemonId) -> bool {
-        let heard = self.members.get(daemon).is_some_and(|member| member.heard_ms > 0);
+        let heard = self.members.get(daemon).is_some_and(|member| member.last_heartbeat_ms > 0);
         let told = self
             .zones
             .values()
@@ -346,7 +346,7 @@
                 .iter()
                 .any(|found| found.owner == *owner && found.largest_free.holds(need))
         };
-        let near = self.members.live_in(self.now_ms, &self.me.zone);
+        let near = self.members.live_in_zone(self.now_ms, &self.me.zone);
         let near = near.filter(|member| !member.stopping && offers(&member.summary));
         // The least loaded of those that can; a summary is seconds old at most.
         let chosen = near.min_by_key(|member| (member.summary.queued, member.summary.running));
@@ -364,7 +364,7 @@
             let found = summary.groups.iter().find(|found| found.group == group);
             found.map_or(0, |found| found.free_slots)
         };
-        let near = self.members.live_in(self.now_ms, &self.me.zone);
+        let near = self.members.live_in_zone(self.now_ms, &self.me.zone);
         let near = near.filter(|member| !member.stopping && free(&member.summary) > 0);
         if let Some(member) = near.max_by_key(|member| free(&member.summary)) {
             return Some(member.identity.daemon.clone());
@@ -394,7 +394,7 @@
         });
         let state = zones.first()?;
         let daemons = state.news.daemons.iter().map(|found| &found.daemon);
-        assign::winner(self.me.daemon.as_str(), daemons).cloned()
+        rendezvous::select(self.me.daemon.as_str(), daemons).cloned()
     }
 }
 
--- a/crates/engine/src/remote.rs
+++ b/crates/engine/src/remote.rs
@@ -178,7 +178,7 @@
                 .iter()
                 .any(|found| found.owner == waiting.owner && found.largest_free.holds(&demand))
         };
-        let near = self.members.live_in(self.now_ms, &self.me.zone);
+        let near = self.members.live_in_zone(self.now_ms, &self.me.zone);
         let near = near.filter(|member| !member.stopping && offers(&member.summary.owners));
         let offering: Vec<&DaemonId> = near.map(|member| &member.identity.daemon).collect();
         // Another one each time: one that has room may be at a limit it does not tell.
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -142,7 +142,7 @@
     fn has_minions(&self, group: &str) -> bool {
         let here =
             self.minions.all().any(|(_, minion)| minion.group == group && minion.serves.is_some());
-        let near = self.members.live_in(self.now_ms, &self.me.zone);
+        let near = self.members.live_in_zone(self.now_ms, &self.me.zone);
         let mut told = near.flat_map(|member| &member.summary.groups);
         here || told.any(|found| found.group == group && found.slots > 0)
     }
@@ -277,7 +277,7 @@
         }
         if request.is_recorded() {
             let attempt = request.attempt();
-            self.drive(id, |machine, now_ms| machine.on_absent(now_ms, attempt));
+            self.drive(id, |machine, now_ms| machine.on_never_started(now_ms, attempt));
             return;
         }
         self.let_wait(number);
--- a/crates/engine/src/seen.rs
+++ b/crates/engine/src/seen.rs
@@ -40,7 +40,7 @@
         let looks = job.finding > 0 || job.find_ms.is_some();
         if looks && let Seen::State(state) = &seen {
             self.drive(attempt.job, |machine, now_ms| {
-                machine.on_found(now_ms, attempt, worker, state)
+                machine.on_discovered(now_ms, attempt, worker, state)
             });
         }
         if !self.is_current(attempt, worker) {
@@ -86,8 +86,8 @@
         }
         self.drive(attempt.job, |machine, now_ms| match seen {
             Seen::State(state) => machine.on_report(now_ms, attempt, state),
-            Seen::Absent => machine.on_absent(now_ms, attempt),
-            Seen::Forgotten => machine.on_lost(now_ms, attempt),
+            Seen::Absent => machine.on_never_started(now_ms, attempt),
+            Seen::Forgotten => machine.on_worker_lost(now_ms, attempt),
             Seen::Pending => Vec::new(),
         });
     }
--- a/crates/engine/src/stop.rs
+++ b/crates/engine/src/stop.rs
@@ -1,6 +1,6 @@
 //! A planned stop: nothing new, nothing cut, everything handed over.
 
-use stoatwell_membership::assign;
+use stoatwell_membership::rendezvous;
 use stoatwell_model::Class;
 use stoatwell_model::JobId;
 
@@ -53,12 +53,12 @@
         }
         for id in ready {
             self.scheduler.withdraw(id);
-            let Some(successor) = assign::winner(&id.to_string(), &peers) else {
+            let Some(successor) = rendezvous::select(&id.to_string(), &peers) else {
                 continue;
             };
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.leaving = true;
-                job.machine.hand_to(successor, &self.me.zone);
+                job.machine.reassign(successor, &self.me.zone);
             }
             self.write_job(id);
         }
--- a/crates/engine/src/submit.rs
+++ b/crates/engine/src/submit.rs
@@ -88,7 +88,7 @@
         let Some(daemon) = near.map(|member| member.identity.daemon.clone()) else {
             return false;
         };
-        let job = JobId::of_key(&entry.owner, key);
+        let job = JobId::from_key(&entry.owner, key);
         let content_hash = content_hash(submission);
         let admitted = Admitted {
             entry,
@@ -156,7 +156,7 @@
         wait_ms: u64,
         may_forward: bool,
     ) {
-        let job = JobId::of_key(&entry.owner, &key);
+        let job = JobId::from_key(&entry.owner, &key);
         let content_hash = content_hash(&submission);
         if self.join(ticket, job, content_hash, wait_ms) {
             return;
@@ -233,7 +233,7 @@
 
     fn never_fits(&self, owner: &OwnerName, demand: &stoatwell_model::Resources) -> Failure {
         let largest = self.scheduler.cell.largest(owner);
-        let detail = match largest.lacking(demand) {
+        let detail = match largest.first_shortage(demand) {
             Some(lacking) => format!("no target of {owner} has enough {lacking}"),
             None => format!("no single target of {owner} has all of it"),
         };
--- a/crates/engine/src/sweep.rs
+++ b/crates/engine/src/sweep.rs
@@ -8,7 +8,7 @@
 use stoatwell_ledger::JobMachine;
 use stoatwell_ledger::Write;
 use stoatwell_ledger::rows;
-use stoatwell_membership::assign;
+use stoatwell_membership::rendezvous;
 use stoatwell_model::AttemptId;
 use stoatwell_model::JobId;
 use stoatwell_model::JobRecord;
@@ -77,7 +77,7 @@
 impl Engine {
     pub(crate) fn sweep_tick(&mut self) {
         let now_ms = self.now_ms;
-        if self.stopping || !self.is_ready() || !self.members.is_settled(now_ms) {
+        if self.stopping || !self.is_ready() || !self.members.is_warmed_up(now_ms) {
             return;
         }
         self.read_claims();
@@ -103,7 +103,7 @@
         if self.sweep.zone.as_ref() != Some(&zone) {
             self.sweep.cursor.clear();
         }
-        let prefix = rows::open_in(&zone);
+        let prefix = rows::open_prefix(&zone);
         self.sweep.zone = Some(zone);
         self.sweep.looking = true;
         let after = self.sweep.cursor.clone();
@@ -120,7 +120,7 @@
         let dead = |zone: &&ZoneName| {
             let heard_ms = self.zones.get(*zone).map_or(0, |state| state.heard_ms);
             let silent = now_ms >= heard_ms + ZONE_DEAD_MS;
-            silent && self.members.live_in(now_ms, zone).next().is_none()
+            silent && self.members.live_in_zone(now_ms, zone).next().is_none()
         };
         // Every second look goes to a dead zone, if there is one.
         let even = (now_ms / self.settings.ledger.sweep_ms.max(1)).is_multiple_of(2);
@@ -151,8 +151,8 @@
             let known = self.jobs.contains_key(&open.job);
             // A row in my name of a job that I do not know is from before my start.
             let deserted = if mine { !known } else { !self.is_live(&open.coordinator) };
-            let chosen =
-                abroad || assign::winner(&open.job.to_string(), &holders) == Some(&self.me.daemon);
+            let chosen = abroad
+                || rendezvous::select(&open.job.to_string(), &holders) == Some(&self.me.daemon);
             // One that I run by a row in another's name was taken over from me.
             let taken = known && !mine;
             if taken || (deserted && !known && (mine || chosen)) {
@@ -170,7 +170,7 @@
             self.sweep.claims.remove(job);
         }
         self.sweep.reading = true;
-        let keys = jobs.into_iter().map(rows::job).collect();
+        let keys = jobs.into_iter().map(rows::job_key).collect();
         self.call_store(StoreOp::SweepRead, StoreCall::Read { keys });
     }
 
@@ -210,7 +210,7 @@
         let object = record.body_object.clone();
         let mut machine = JobMachine::new(record, row.version, attempts_max);
         let former = machine.record.coordinator.clone();
-        machine.hand_to(&self.me.daemon, &self.me.zone);
+        machine.reassign(&self.me.daemon, &self.me.zone);
         machine.note(format!("taken over from daemon {former}"));
         let mut job = Job::new(machine, body);
         // The new holders of the dead daemon's workers need this long to know
@@ -263,7 +263,7 @@
             return;
         }
         let jobs: Vec<JobId> = jobs.into_iter().take(ADOPT_MAX).collect();
-        let keys = jobs.iter().map(|job| rows::job(*job)).collect();
+        let keys = jobs.iter().map(|job| rows::job_key(*job)).collect();
         self.call_store(StoreOp::SweepOrphans(jobs), StoreCall::Read { keys });
     }
 
@@ -320,7 +320,7 @@
             return;
         };
         let kept_from =
-            rows::done_from(self.now_ms.saturating_sub(self.settings.ledger.retention_ms));
+            rows::first_done_key(self.now_ms.saturating_sub(self.settings.ledger.retention_ms));
         let mut deletes = Vec::new();
         for row in &found {
             // The hour in the key is when it finished; the whole hour must be over.
@@ -328,8 +328,8 @@
                 break;
             }
             deletes.push(row.key.clone());
-            if let Some(job) = rows::job_of_done(&row.key) {
-                deletes.push(rows::job(job));
+            if let Some(job) = rows::job_of_done_key(&row.key) {
+                deletes.push(rows::job_key(job));
                 let key = format!("body/{job}");
                 self.call_store(StoreOp::RemoveBody, StoreCall::DeleteObject { key });
             }
@@ -341,7 +341,7 @@
         self.sweep.next_done_ms = self.now_ms;
         let write_id = self.next_write_id();
         let write =
-            Write { checks: Vec::new(), puts: Vec::new(), deletes, write_id, give_up_ms: None };
+            Write { checks: Vec::new(), puts: Vec::new(), deletes, write_id, expires_ms: None };
         self.committer.submit(write_id, write);
     }
 
--- a/crates/engine/tests/failures.rs
+++ b/crates/engine/tests/failures.rs
@@ -23,7 +23,7 @@
 const SHORT: &str = r#"{"run_ms":100,"answer":"done"}"#;
 
 fn job(key: &str) -> JobId {
-    JobId::of_key(&OwnerName::new("nyaysetu"), key)
+    JobId::from_key(&OwnerName::new("nyaysetu"), key)
 }
 
 fn record(world: &mut World, key: &str) -> Option<JobRecord> {
--- a/crates/engine/tests/seeds.rs
+++ b/crates/engine/tests/seeds.rs
@@ -209,7 +209,7 @@
     let again = world.rng.random_bool(0.1) && entry != "headcount";
     let key = format!("key-{number}");
     let node = world.rng.random_range(0..world.nodes.len());
-    let job = JobId::of_key(&OwnerName::new("nyaysetu"), &key);
+    let job = JobId::from_key(&OwnerName::new("nyaysetu"), &key);
     if entry == "booking" {
         bookings.insert(job);
     }
--- a/crates/ledger/src/committer.rs
+++ b/crates/ledger/src/committer.rs
@@ -39,7 +39,7 @@
     /// Names this write.
     pub write_id: u64,
     /// After this time it is taken back if it surely was not sent.
-    pub give_up_ms: Option<UnixMs>,
+    pub expires_ms: Option<UnixMs>,
 }
 
 /// What became of a write.
@@ -125,7 +125,7 @@
     }
 
     /// Whether new work that needs the store should be refused at once.
-    pub fn refuses(&self) -> bool {
+    pub fn is_failing(&self) -> bool {
         self.failures >= FAILURES_TO_REFUSE
     }
 
@@ -140,10 +140,10 @@
     }
 
     /// Takes back what waited too long and was surely never sent.
-    pub fn give_up(&mut self, now_ms: UnixMs) -> Vec<(u64, CommitResult)> {
+    pub fn take_expired(&mut self, now_ms: UnixMs) -> Vec<(u64, CommitResult)> {
         let mut results = Vec::new();
         self.waiting.retain(|pending| {
-            let late = pending.write.give_up_ms.is_some_and(|at_ms| at_ms <= now_ms);
+            let late = pending.write.expires_ms.is_some_and(|at_ms| at_ms <= now_ms);
             if late && !pending.may_be_written {
                 results.push((pending.ticket, CommitResult::NotWritten));
                 return false;
--- a/crates/ledger/src/machine/mod.rs
+++ b/crates/ledger/src/machine/mod.rs
@@ -78,7 +78,7 @@
     /// Stop these.
     Stop(Vec<AttemptId>),
     /// Take these out of the queue.
-    Withdraw,
+    Dequeue,
     /// The record changed and has to be written.
     Write,
     /// The outcome is final.
@@ -195,7 +195,7 @@
 
     /// A task of a job that was taken over was found on a worker, though no
     /// intent told of it: work that may be repeated goes on there.
-    pub fn on_found(
+    pub fn on_discovered(
         &mut self,
         now_ms: UnixMs,
         attempt: AttemptId,
@@ -338,7 +338,7 @@
                 }
                 self.after_cancel_stop(attempt)
             }
-            StartResult::Refused => self.on_absent(now_ms, attempt),
+            StartResult::Refused => self.on_never_started(now_ms, attempt),
         }
     }
 
@@ -368,7 +368,7 @@
     }
 
     /// The worker proved that this attempt never started and never will.
-    pub fn on_absent(&mut self, now_ms: UnixMs, attempt: AttemptId) -> Vec<JobEffect> {
+    pub fn on_never_started(&mut self, now_ms: UnixMs, attempt: AttemptId) -> Vec<JobEffect> {
         let Some(task) = self.task_mut(attempt) else {
             return Vec::new();
         };
@@ -385,7 +385,7 @@
     }
 
     /// The worker is gone for good; nothing can tell whether this attempt ran.
-    pub fn on_lost(&mut self, now_ms: UnixMs, attempt: AttemptId) -> Vec<JobEffect> {
+    pub fn on_worker_lost(&mut self, now_ms: UnixMs, attempt: AttemptId) -> Vec<JobEffect> {
         let Some(task) = self.task_mut(attempt) else {
             return Vec::new();
         };
@@ -409,7 +409,7 @@
         }
         self.record.cancelled = true;
         self.note("cancelled by its owner".to_owned());
-        let mut effects = vec![JobEffect::Withdraw];
+        let mut effects = vec![JobEffect::Dequeue];
         for index in 0..self.tasks.len() {
             if matches!(self.tasks[index].phase, Phase::Waiting | Phase::Intended) {
                 self.tasks[index].phase = Phase::Dropped(Code::CancelledBeforeStart);
@@ -448,7 +448,7 @@
     }
 
     /// Another daemon runs it from now on, perhaps in another zone.
-    pub fn hand_to(&mut self, coordinator: &DaemonId, zone: &ZoneName) {
+    pub fn reassign(&mut self, coordinator: &DaemonId, zone: &ZoneName) {
         if self.record.zone != *zone {
             self.former_zone = Some(std::mem::replace(&mut self.record.zone, zone.clone()));
         }
--- a/crates/ledger/src/rows.rs
+++ b/crates/ledger/src/rows.rs
@@ -34,51 +34,51 @@
 }
 
 /// The row of a job's record.
-pub fn job(job: JobId) -> String {
+pub fn job_key(job: JobId) -> String {
     format!("job/{job}")
 }
 
 /// The row that marks a job as open.
-pub fn open(zone: &ZoneName, job: JobId) -> String {
+pub fn open_key(zone: &ZoneName, job: JobId) -> String {
     format!("{OPEN}{zone}/{job}")
 }
 
 /// Start of the open rows of one zone.
-pub fn open_in(zone: &ZoneName) -> String {
+pub fn open_prefix(zone: &ZoneName) -> String {
     format!("{OPEN}{zone}/")
 }
 
 /// The row that marks a job as finished.
-pub fn done(finished_ms: UnixMs, job: JobId) -> String {
+pub fn done_key(finished_ms: UnixMs, job: JobId) -> String {
     format!("{DONE}{:012}/{job}", finished_ms / HOUR_MS)
 }
 
 /// The first key of jobs that finished at or after this time.
-pub fn done_from(finished_ms: UnixMs) -> String {
+pub fn first_done_key(finished_ms: UnixMs) -> String {
     format!("{DONE}{:012}/", finished_ms / HOUR_MS)
 }
 
 /// The job that a row of finished jobs names.
-pub fn job_of_done(key: &str) -> Option<JobId> {
+pub fn job_of_done_key(key: &str) -> Option<JobId> {
     key.rsplit('/').next()?.parse().ok()
 }
 
 /// The write that brings the table up to this record, from the version that
 /// was read; `former_zone` is where its open row was, if it moves.
-pub fn write(record: &JobRecord, version: u64, former_zone: Option<&ZoneName>) -> Write {
-    let key = job(record.job);
+pub fn record_write(record: &JobRecord, version: u64, former_zone: Option<&ZoneName>) -> Write {
+    let key = job_key(record.job);
     let value = serde_json::to_string(record).unwrap_or_default();
     let mut write = Write {
         checks: vec![Check { key: key.clone(), version }],
         puts: vec![Put { key, value }],
         deletes: Vec::new(),
         write_id: record.write_id,
-        give_up_ms: None,
+        expires_ms: None,
     };
-    write.deletes.extend(former_zone.map(|zone| open(zone, record.job)));
-    let open_key = open(&record.zone, record.job);
+    write.deletes.extend(former_zone.map(|zone| open_key(zone, record.job)));
+    let open_key = open_key(&record.zone, record.job);
     if record.outcome.is_some() {
-        let key = done(record.finished_ms, record.job);
+        let key = done_key(record.finished_ms, record.job);
         write.puts.push(Put { key, value: String::from("{}") });
         write.deletes.push(open_key);
     } else {
--- a/crates/ledger/tests/committer.rs
+++ b/crates/ledger/tests/committer.rs
@@ -15,7 +15,7 @@
         puts: vec![Put { key: key.to_owned(), value: format!(r#"{{"write_id":{write_id}}}"#) }],
         deletes: Vec::new(),
         write_id,
-        give_up_ms: None,
+        expires_ms: None,
     }
 }
 
@@ -82,12 +82,12 @@
 fn only_what_was_surely_not_sent_is_taken_back() {
     let mut committer = Committer::new(1, 100);
     for number in 1..=2 {
-        let late = Write { give_up_ms: Some(2_000), ..write(&format!("job/{number}"), 0, number) };
+        let late = Write { expires_ms: Some(2_000), ..write(&format!("job/{number}"), 0, number) };
         committer.submit(number, late);
     }
     committer.due(1_000).expect("the first one is sent");
     committer.on_reply(1_500, &no_answer());
-    assert_eq!(committer.give_up(2_500), vec![(2, CommitResult::NotWritten)]);
+    assert_eq!(committer.take_expired(2_500), vec![(2, CommitResult::NotWritten)]);
     assert_eq!(committer.backlog(), 1, "the first one is tried until it is known");
 }
 
@@ -104,7 +104,7 @@
             committer.on_reply(failure * 10_000, &Err(CallError::Refused("down".to_owned())));
         }
     }
-    assert!(committer.refuses());
+    assert!(committer.is_failing());
     let mut sent = 0;
     for step in 0..300 {
         let now_ms = 3_600_000 + step * 10;
@@ -114,5 +114,5 @@
         }
     }
     assert!((20..=40).contains(&sent), "{sent} transactions in three seconds at ten a second");
-    assert!(!committer.refuses());
+    assert!(!committer.is_failing());
 }
--- a/crates/membership/src/holding.rs
+++ b/crates/membership/src/lease.rs
@@ -15,32 +15,32 @@
 use stoatwell_model::worker::Token;
 use stoatwell_platform::WorkerReply;
 
-use crate::assign;
+use crate::rendezvous;
 
 /// Before another try at a worker that could not be reached.
 const RETRY_MS: u64 = 500;
 
 /// The leases of one daemon.
 #[derive(Debug)]
-pub struct Holdings {
+pub struct LeaseTable {
     me: DaemonId,
     ttl_ms: u64,
     wait_ms: u64,
     moves_per_second: u64,
-    workers: BTreeMap<WorkerId, Holding>,
+    workers: BTreeMap<WorkerId, WorkerLease>,
     moves_left: u64,
     moves_since_ms: UnixMs,
 }
 
 /// One worker as seen from here.
 #[derive(Clone, Debug, Serialize)]
-pub struct Holding {
+pub struct WorkerLease {
     /// IP and port of the worker.
     pub address: String,
     /// The highest token seen.
     pub token: Token,
     /// Where the lease stands.
-    pub state: HoldState,
+    pub state: LeaseState,
     /// The last change heard of.
     pub seq: u64,
     /// Whether the platform lists it still.
@@ -53,7 +53,7 @@
 /// Where a lease stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum HoldState {
+pub enum LeaseState {
     /// Somebody else's, or nobody's.
     Other,
     /// Mine until this time.
@@ -65,7 +65,7 @@
 
 /// A call that is due.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HoldAction {
+pub enum LeaseAction {
     /// Ask to hold.
     Acquire {
         /// The worker.
@@ -93,9 +93,9 @@
 
 /// What an answer means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HoldEvent {
+pub enum LeaseEvent {
     /// The worker is held from now on; its state is in the answer.
-    Gained,
+    Acquired,
     /// The lease goes on; news are in the answer.
     Renewed,
     /// The worker is not held any more.
@@ -104,7 +104,7 @@
     Unchanged,
 }
 
-impl Holdings {
+impl LeaseTable {
     /// Holds nothing yet.
     pub fn new(me: DaemonId, ttl_ms: u64, wait_ms: u64, moves_per_second: u64) -> Self {
         Self {
@@ -130,15 +130,15 @@
 
     /// Takes the zone's workers as the platform lists them. A worker that is
     /// held stays until it stops answering, since the list is only a hint.
-    pub fn on_list(&mut self, listed: impl IntoIterator<Item = (WorkerId, String)>) {
+    pub fn update_workers(&mut self, listed: impl IntoIterator<Item = (WorkerId, String)>) {
         for holding in self.workers.values_mut() {
             holding.listed = false;
         }
         for (worker, address) in listed {
-            let holding = self.workers.entry(worker).or_insert_with(|| Holding {
+            let holding = self.workers.entry(worker).or_insert_with(|| WorkerLease {
                 address: address.clone(),
                 token: 0,
-                state: HoldState::Other,
+                state: LeaseState::Other,
                 seq: 0,
                 listed: true,
                 calling: false,
@@ -149,7 +149,7 @@
             holding.address = address;
         }
         self.workers.retain(|_, holding| {
-            holding.listed || holding.calling || holding.state != HoldState::Other
+            holding.listed || holding.calling || holding.state != LeaseState::Other
         });
     }
 
@@ -161,7 +161,7 @@
         holders: &[DaemonId],
         only: Option<&WorkerId>,
         busy: impl Fn(&WorkerId) -> bool,
-    ) -> Vec<HoldAction> {
+    ) -> Vec<LeaseAction> {
         self.refill_moves(now_ms);
         let alone = !holders.contains(&self.me);
         let mut actions = Vec::new();
@@ -173,19 +173,19 @@
             if holding.calling || now_ms < holding.not_before_ms {
                 continue;
             }
-            let mine = assign::winner(worker.as_str(), holders) == Some(&self.me);
+            let mine = rendezvous::select(worker.as_str(), holders) == Some(&self.me);
             let action = match holding.state {
-                HoldState::Other if mine && holding.listed => {
-                    HoldAction::Acquire { worker: worker.clone(), token: holding.token + 1 }
+                LeaseState::Other if mine && holding.listed => {
+                    LeaseAction::Acquire { worker: worker.clone(), token: holding.token + 1 }
                 }
-                HoldState::Other => continue,
-                HoldState::Mine { .. } => {
+                LeaseState::Other => continue,
+                LeaseState::Mine { .. } => {
                     let may_move = alone || self.moves_left > 0;
                     if !mine && !holders.is_empty() && may_move && !busy(worker) {
                         self.moves_left = self.moves_left.saturating_sub(1);
-                        HoldAction::Release { worker: worker.clone(), token: holding.token }
+                        LeaseAction::Release { worker: worker.clone(), token: holding.token }
                     } else {
-                        HoldAction::Renew {
+                        LeaseAction::Renew {
                             worker: worker.clone(),
                             token: holding.token,
                             since: holding.seq,
@@ -206,10 +206,10 @@
         now_ms: UnixMs,
         worker: &WorkerId,
         reply: Option<&WorkerReply>,
-    ) -> HoldEvent {
+    ) -> LeaseEvent {
         let ttl_ms = self.ttl_ms;
         let Some(holding) = self.workers.get_mut(worker) else {
-            return HoldEvent::Unchanged;
+            return LeaseEvent::Unchanged;
         };
         holding.calling = false;
         let until_ms = holding.sent_ms + ttl_ms;
@@ -217,18 +217,18 @@
             Some(WorkerReply::Granted { state, seq }) => {
                 holding.token = state.token;
                 holding.seq = *seq;
-                holding.state = HoldState::Mine { until_ms };
-                HoldEvent::Gained
+                holding.state = LeaseState::Mine { until_ms };
+                LeaseEvent::Acquired
             }
             // The lease was given up here while the renewal was on its way, so
             // nothing is known of what runs there; it has to be acquired anew.
-            Some(WorkerReply::Renewed { .. }) if holding.state == HoldState::Other => {
-                HoldEvent::Unchanged
+            Some(WorkerReply::Renewed { .. }) if holding.state == LeaseState::Other => {
+                LeaseEvent::Unchanged
             }
             Some(WorkerReply::Renewed { seq, .. }) => {
                 holding.seq = *seq;
-                holding.state = HoldState::Mine { until_ms };
-                HoldEvent::Renewed
+                holding.state = LeaseState::Mine { until_ms };
+                LeaseEvent::Renewed
             }
             Some(WorkerReply::NotHolder { token, expires_ms, .. }) => {
                 holding.token = holding.token.max(*token);
@@ -239,23 +239,23 @@
                 holding.not_before_ms = now_ms + RETRY_MS;
                 holding.lose()
             }
-            Some(WorkerReply::Started { .. } | WorkerReply::Stopped) => HoldEvent::Unchanged,
+            Some(WorkerReply::Started { .. } | WorkerReply::Stopped) => LeaseEvent::Unchanged,
             None => {
                 holding.not_before_ms = now_ms + RETRY_MS;
                 // Whether an acquisition took effect is not known. The next one
                 // uses a higher token, so it cannot be refused as old.
-                if holding.state == HoldState::Other {
+                if holding.state == LeaseState::Other {
                     holding.token += 1;
                 }
-                HoldEvent::Unchanged
+                LeaseEvent::Unchanged
             }
         }
     }
 
     /// Takes from a refused start that somebody else holds the worker.
-    pub fn on_fenced(&mut self, worker: &WorkerId, token: Token) -> HoldEvent {
+    pub fn on_fenced(&mut self, worker: &WorkerId, token: Token) -> LeaseEvent {
         let Some(holding) = self.workers.get_mut(worker) else {
-            return HoldEvent::Unchanged;
+            return LeaseEvent::Unchanged;
         };
         holding.token = holding.token.max(token);
         holding.lose()
@@ -265,17 +265,17 @@
     pub fn token(&self, now_ms: UnixMs, worker: &WorkerId) -> Option<Token> {
         let holding = self.workers.get(worker)?;
         match holding.state {
-            HoldState::Mine { until_ms } if now_ms < until_ms => Some(holding.token),
-            HoldState::Mine { .. } | HoldState::Other => None,
+            LeaseState::Mine { until_ms } if now_ms < until_ms => Some(holding.token),
+            LeaseState::Mine { .. } | LeaseState::Other => None,
         }
     }
 
     /// Leases that ran out while nobody renewed them. A paused daemon finds
     /// out here, when it wakes up, that it must not act any more.
-    pub fn lapsed(&self, now_ms: UnixMs) -> Vec<WorkerId> {
+    pub fn expired(&self, now_ms: UnixMs) -> Vec<WorkerId> {
         let mut lapsed = Vec::new();
         for (worker, holding) in &self.workers {
-            if matches!(holding.state, HoldState::Mine { until_ms } if until_ms <= now_ms) {
+            if matches!(holding.state, LeaseState::Mine { until_ms } if until_ms <= now_ms) {
                 lapsed.push(worker.clone());
             }
         }
@@ -283,23 +283,23 @@
     }
 
     /// Stops counting on a worker without telling it.
-    pub fn drop_lease(&mut self, worker: &WorkerId) -> HoldEvent {
-        self.workers.get_mut(worker).map_or(HoldEvent::Unchanged, Holding::lose)
+    pub fn drop_lease(&mut self, worker: &WorkerId) -> LeaseEvent {
+        self.workers.get_mut(worker).map_or(LeaseEvent::Unchanged, WorkerLease::lose)
     }
 
     /// One worker.
-    pub fn get(&self, worker: &WorkerId) -> Option<&Holding> {
+    pub fn get(&self, worker: &WorkerId) -> Option<&WorkerLease> {
         self.workers.get(worker)
     }
 
     /// All workers of the zone.
-    pub fn all(&self) -> impl Iterator<Item = (&WorkerId, &Holding)> {
+    pub fn all(&self) -> impl Iterator<Item = (&WorkerId, &WorkerLease)> {
         self.workers.iter()
     }
 
     /// How many workers are held.
     pub fn held(&self) -> usize {
-        self.workers.values().filter(|holding| holding.state != HoldState::Other).count()
+        self.workers.values().filter(|holding| holding.state != LeaseState::Other).count()
     }
 
     fn refill_moves(&mut self, now_ms: UnixMs) {
@@ -310,12 +310,12 @@
     }
 }
 
-impl Holding {
-    fn lose(&mut self) -> HoldEvent {
-        if self.state == HoldState::Other {
-            return HoldEvent::Unchanged;
+impl WorkerLease {
+    fn lose(&mut self) -> LeaseEvent {
+        if self.state == LeaseState::Other {
+            return LeaseEvent::Unchanged;
         }
-        self.state = HoldState::Other;
-        HoldEvent::Lost
+        self.state = LeaseState::Other;
+        LeaseEvent::Lost
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,16 +1,16 @@
 //! Which daemons are alive and which of them holds each worker.
 //!
 //! The platform's instance list is late and only a hint; heartbeats say who is
-//! alive ([`members`]). [`assign`] gives every worker of a zone to one living
+//! alive ([`members`]). [`rendezvous`] gives every worker of a zone to one living
 //! daemon, so that all daemons with the same view agree without asking.
-//! [`holding`] is one daemon's side of the leases that the workers grant: a
+//! [`lease`] is one daemon's side of the leases that the workers grant: a
 //! wrong view costs a refused call, never two holders that can act.
 
-pub mod assign;
-pub mod holding;
+pub mod lease;
 pub mod members;
+pub mod rendezvous;
 
-pub use holding::HoldAction;
-pub use holding::HoldEvent;
-pub use holding::Holdings;
+pub use lease::LeaseAction;
+pub use lease::LeaseEvent;
+pub use lease::LeaseTable;
 pub use members::Members;
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -13,7 +13,7 @@
 use stoatwell_model::peer::Identity;
 use stoatwell_model::peer::Summary;
 
-use crate::assign;
+use crate::rendezvous;
 
 /// The key whose rendezvous winner speaks for a zone.
 pub const RELAY_KEY: &str = "relay";
@@ -24,7 +24,7 @@
     /// Who it is.
     pub identity: Identity,
     /// When it was last heard; 0 is never.
-    pub heard_ms: UnixMs,
+    pub last_heartbeat_ms: UnixMs,
     /// Whether the platform lists it.
     pub listed: bool,
     /// Whether it is about to stop.
@@ -52,7 +52,7 @@
 
     /// Takes the instance list: names new daemons and forgets those that are
     /// neither listed nor heard.
-    pub fn on_list(&mut self, now_ms: UnixMs, listed: &[Identity]) {
+    pub fn update_instances(&mut self, now_ms: UnixMs, listed: &[Identity]) {
         for member in self.known.values_mut() {
             member.listed = false;
         }
@@ -64,12 +64,14 @@
                 self.known.entry(identity.daemon.clone()).or_insert_with(|| new_member(identity));
             member.listed = true;
             // The list does not know incarnations; what the daemon says of itself stands.
-            if member.heard_ms == 0 {
+            if member.last_heartbeat_ms == 0 {
                 member.identity = identity.clone();
             }
         }
         let silent_after_ms = self.silent_after_ms;
-        self.known.retain(|_, member| member.listed || now_ms < member.heard_ms + silent_after_ms);
+        self.known.retain(|_, member| {
+            member.listed || now_ms < member.last_heartbeat_ms + silent_after_ms
+        });
     }
 
     /// Takes a sign of life. A delayed one of an earlier start is left out.
@@ -83,7 +85,7 @@
             return;
         }
         member.identity = beat.from.clone();
-        member.heard_ms = now_ms;
+        member.last_heartbeat_ms = now_ms;
         member.stopping = beat.stopping;
         member.revision = beat.revision;
         if let Some(summary) = &beat.summary {
@@ -113,7 +115,7 @@
     }
 
     /// Members of a zone that were heard of late.
-    pub fn live_in(&self, now_ms: UnixMs, zone: &ZoneName) -> impl Iterator<Item = &Member> {
+    pub fn live_in_zone(&self, now_ms: UnixMs, zone: &ZoneName) -> impl Iterator<Item = &Member> {
         self.known.values().filter(move |member| {
             member.identity.zone == *zone && self.heard_lately(now_ms, member)
         })
@@ -137,7 +139,7 @@
     /// Whether this daemon speaks for its zone.
     pub fn is_relay(&self, now_ms: UnixMs) -> bool {
         let holders = self.holders(now_ms, false);
-        assign::winner(RELAY_KEY, &holders) == Some(&self.me.daemon)
+        rendezvous::select(RELAY_KEY, &holders) == Some(&self.me.daemon)
     }
 
     /// The daemons of every other zone, by zone.
@@ -152,19 +154,19 @@
     }
 
     /// Whether enough time has passed since the start to have heard everybody alive.
-    pub fn is_settled(&self, now_ms: UnixMs) -> bool {
+    pub fn is_warmed_up(&self, now_ms: UnixMs) -> bool {
         now_ms >= self.started_ms + self.silent_after_ms
     }
 
     fn heard_lately(&self, now_ms: UnixMs, member: &Member) -> bool {
-        member.heard_ms > 0 && now_ms < member.heard_ms + self.silent_after_ms
+        member.last_heartbeat_ms > 0 && now_ms < member.last_heartbeat_ms + self.silent_after_ms
     }
 }
 
 fn new_member(identity: &Identity) -> Member {
     Member {
         identity: identity.clone(),
-        heard_ms: 0,
+        last_heartbeat_ms: 0,
         listed: false,
         stopping: false,
         revision: 0,
--- a/crates/membership/src/assign.rs
+++ b/crates/membership/src/rendezvous.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// The daemon that a key belongs to.
-pub fn winner<'a>(
+pub fn select<'a>(
     key: &str,
     daemons: impl IntoIterator<Item = &'a DaemonId>,
 ) -> Option<&'a DaemonId> {
--- a/crates/membership/tests/holding.rs
+++ b/crates/membership/tests/lease.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use stoatwell_membership::HoldAction;
-use stoatwell_membership::HoldEvent;
-use stoatwell_membership::Holdings;
-use stoatwell_membership::assign;
+use stoatwell_membership::LeaseAction;
+use stoatwell_membership::LeaseEvent;
+use stoatwell_membership::LeaseTable;
+use stoatwell_membership::rendezvous;
 use stoatwell_model::DaemonId;
 use stoatwell_model::Resources;
 use stoatwell_model::WorkerId;
@@ -17,7 +17,7 @@
 }
 
 fn owners(daemons: &[DaemonId]) -> BTreeMap<u32, DaemonId> {
-    let of = |number: u32| assign::winner(&format!("worker-{number}"), daemons).cloned();
+    let of = |number: u32| rendezvous::select(&format!("worker-{number}"), daemons).cloned();
     (0..3_000).filter_map(|number| of(number).map(|daemon| (number, daemon))).collect()
 }
 
@@ -47,18 +47,18 @@
     WorkerReply::Granted { state, seq: 1 }
 }
 
-fn holding() -> (Holdings, WorkerId, Vec<DaemonId>) {
+fn holding() -> (LeaseTable, WorkerId, Vec<DaemonId>) {
     let me = DaemonId::new("me");
     let worker = WorkerId::new("w");
-    let mut holdings = Holdings::new(me.clone(), 6_000, 2_000, 5);
-    holdings.on_list([(worker.clone(), "127.0.0.1:1".to_owned())]);
+    let mut holdings = LeaseTable::new(me.clone(), 6_000, 2_000, 5);
+    holdings.update_workers([(worker.clone(), "127.0.0.1:1".to_owned())]);
     (holdings, worker, vec![me])
 }
 
-fn acquire(holdings: &mut Holdings, worker: &WorkerId, holders: &[DaemonId], now_ms: u64) {
+fn acquire(holdings: &mut LeaseTable, worker: &WorkerId, holders: &[DaemonId], now_ms: u64) {
     let actions = holdings.due(now_ms, holders, None, |_| false);
-    let [HoldAction::Acquire { token, .. }] = actions.as_slice() else { panic!("{actions:?}") };
-    assert_eq!(holdings.on_reply(now_ms, worker, Some(&granted(*token))), HoldEvent::Gained);
+    let [LeaseAction::Acquire { token, .. }] = actions.as_slice() else { panic!("{actions:?}") };
+    assert_eq!(holdings.on_reply(now_ms, worker, Some(&granted(*token))), LeaseEvent::Acquired);
 }
 
 /// A daemon is frozen past its lease and wakes up. Believing what it held, it
@@ -69,8 +69,8 @@
     acquire(&mut holdings, &worker, &holders, 1_000);
     assert_eq!(holdings.token(6_999, &worker), Some(1));
     assert_eq!(holdings.token(7_000, &worker), None);
-    assert_eq!(holdings.lapsed(7_000), vec![worker.clone()]);
-    assert_eq!(holdings.drop_lease(&worker), HoldEvent::Lost);
+    assert_eq!(holdings.expired(7_000), vec![worker.clone()]);
+    assert_eq!(holdings.drop_lease(&worker), LeaseEvent::Lost);
 }
 
 /// The renewal was on its way when the lease was given up here. Its answer
@@ -80,7 +80,7 @@
     let (mut holdings, worker, holders) = holding();
     acquire(&mut holdings, &worker, &holders, 1_000);
     let actions = holdings.due(1_100, &holders, None, |_| false);
-    assert!(matches!(actions.as_slice(), [HoldAction::Renew { .. }]));
+    assert!(matches!(actions.as_slice(), [LeaseAction::Renew { .. }]));
     holdings.drop_lease(&worker);
     let late = WorkerReply::Renewed {
         changes: Vec::new(),
@@ -88,7 +88,7 @@
         foreign: Resources::ZERO,
         seq: 2,
     };
-    assert_eq!(holdings.on_reply(1_200, &worker, Some(&late)), HoldEvent::Unchanged);
+    assert_eq!(holdings.on_reply(1_200, &worker, Some(&late)), LeaseEvent::Unchanged);
     assert_eq!(holdings.token(1_200, &worker), None);
 }
 
@@ -100,10 +100,10 @@
     acquire(&mut holdings, &worker, &holders, 1_000);
     let others = daemons(40);
     let stays = holdings.due(2_000, &others, None, |_| true);
-    assert!(matches!(stays.as_slice(), [HoldAction::Renew { .. }]), "{stays:?}");
+    assert!(matches!(stays.as_slice(), [LeaseAction::Renew { .. }]), "{stays:?}");
     holdings.on_reply(2_000, &worker, None);
     let goes = holdings.due(3_500, &others, None, |_| false);
-    assert!(matches!(goes.as_slice(), [HoldAction::Release { .. }]), "{goes:?}");
+    assert!(matches!(goes.as_slice(), [LeaseAction::Release { .. }]), "{goes:?}");
 }
 
 /// Nobody knows whether an acquisition without an answer took effect. The next
@@ -114,5 +114,5 @@
     holdings.due(1_000, &holders, None, |_| false);
     holdings.on_reply(1_500, &worker, None);
     let actions = holdings.due(3_000, &holders, None, |_| false);
-    assert!(matches!(actions.as_slice(), [HoldAction::Acquire { token: 2, .. }]), "{actions:?}");
+    assert!(matches!(actions.as_slice(), [LeaseAction::Acquire { token: 2, .. }]), "{actions:?}");
 }
--- a/crates/model/src/id.rs
+++ b/crates/model/src/id.rs
@@ -103,7 +103,7 @@
 
 impl JobId {
     /// The id that this owner's idempotency key always gets.
-    pub fn of_key(owner: &OwnerName, key: &str) -> Self {
+    pub fn from_key(owner: &OwnerName, key: &str) -> Self {
         let mut hasher = Sha256::new();
         hasher.update(owner.as_str().as_bytes());
         hasher.update([0]);
--- a/crates/model/src/resources.rs
+++ b/crates/model/src/resources.rs
@@ -34,11 +34,11 @@
 
     /// Whether `self` is enough for `need`.
     pub fn holds(&self, need: &Self) -> bool {
-        self.lacking(need).is_none()
+        self.first_shortage(need).is_none()
     }
 
     /// The first resource of which `self` has too little for `need`.
-    pub fn lacking(&self, need: &Self) -> Option<ResourceKind> {
+    pub fn first_shortage(&self, need: &Self) -> Option<ResourceKind> {
         if need.accelerators > self.accelerators {
             return Some(ResourceKind::Accelerators);
         }
@@ -76,7 +76,7 @@
     }
 
     /// How many times it holds `need`.
-    pub fn times_held(&self, need: &Self) -> u64 {
+    pub fn fit_count(&self, need: &Self) -> u64 {
         let times = |all: u64, one: u64| all.checked_div(one).unwrap_or(u64::MAX);
         times(self.cpu_millis, need.cpu_millis)
             .min(times(self.memory_bytes, need.memory_bytes))
--- a/crates/model/src/target.rs
+++ b/crates/model/src/target.rs
@@ -63,7 +63,11 @@
     }
 
     /// The target after `change`, or `None` where the change makes no sense.
-    pub fn after(current: Option<&Self>, worker: &WorkerId, change: &TargetChange) -> Option<Self> {
+    pub fn transition(
+        current: Option<&Self>,
+        worker: &WorkerId,
+        change: &TargetChange,
+    ) -> Option<Self> {
         let epoch = current.map_or(1, |target| target.epoch + 1);
         match (current, change) {
             (None, TargetChange::Start { owner }) => Some(Self {
--- a/crates/model/tests/codes.rs
+++ b/crates/model/tests/codes.rs
@@ -49,7 +49,7 @@
 /// are joined, must not find this owner's job.
 #[test]
 fn job_ids_differ_by_owner_and_key() {
-    let id = |owner: &str, key: &str| JobId::of_key(&OwnerName::new(owner), key);
+    let id = |owner: &str, key: &str| JobId::from_key(&OwnerName::new(owner), key);
     assert_eq!(id("a", "b"), id("a", "b"));
     assert_ne!(id("a", "b"), id("b", "a"));
     assert_ne!(id("ab", "c"), id("a", "bc"));
--- a/crates/placement/src/cell/mod.rs
+++ b/crates/placement/src/cell/mod.rs
@@ -399,7 +399,7 @@
         for index in &pool.members {
             let info = &self.workers[*index];
             if info.serving {
-                fitting_tasks += info.capacity.times_held(need);
+                fitting_tasks += info.capacity.fit_count(need);
             }
         }
         fitting_tasks >= tasks as u64
--- a/crates/placement/src/scheduler/mod.rs
+++ b/crates/placement/src/scheduler/mod.rs
@@ -360,7 +360,7 @@
             ));
         }
         let free = self.cell.largest_free(&waiting.owner);
-        if let Some(lacking) = free.lacking(&need) {
+        if let Some(lacking) = free.first_shortage(&need) {
             reasons.push(format!("no worker of {} has enough free {lacking} now", waiting.owner));
         } else if self.cell.find_packed(&waiting.owner, &need, CapacityView::Free).is_none() {
             reasons.push("no single worker has enough of every resource free now".to_owned());
--- a/crates/pool/src/choose.rs
+++ b/crates/pool/src/choose.rs
@@ -349,5 +349,5 @@
 /// How many tasks of this need have room; never more than a job may have, since a
 /// task that needs nothing has room without end.
 pub(crate) fn places_in(free: &Resources, need: &Resources) -> u64 {
-    free.times_held(need).min(TASKS_MAX)
+    free.fit_count(need).min(TASKS_MAX)
 }
--- a/crates/pool/src/customers.rs
+++ b/crates/pool/src/customers.rs
@@ -128,7 +128,7 @@
     ) -> u64 {
         let Some(id) = customer else { return u64::MAX };
         let used = used.get(id.0).copied().unwrap_or_default();
-        left(&self.customers.get(id).limits.cap, &used).times_held(demand)
+        left(&self.customers.get(id).limits.cap, &used).fit_count(demand)
     }
 
     /// Whether a gang waits for its customer's cap.
--- a/crates/schema/src/lib.rs
+++ b/crates/schema/src/lib.rs
@@ -5,7 +5,7 @@
 //! path, a kind, bounds, a default and what the field is for; the same table
 //! makes the page that documents it.
 
-mod page;
+mod markdown;
 
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
 use stoatwell_model::id::NAME_MAX_BYTES;
 use stoatwell_model::id::is_valid_name;
 
-pub use page::page;
+pub use markdown::markdown_table;
 
 /// Longest part of a wrong value that is shown again, in characters.
 const SHOWN_CHARS_MAX: usize = 60;
--- a/crates/schema/src/page.rs
+++ b/crates/schema/src/markdown.rs
@@ -6,7 +6,7 @@
 use crate::describe;
 
 /// A Markdown table of the fields.
-pub fn page(fields: &[Field]) -> String {
+pub fn markdown_table(fields: &[Field]) -> String {
     let mut page = String::from("| field | takes | default | meaning |\n|---|---|---|---|\n");
     for field in fields {
         let default = field.default.unwrap_or("(must be given)");
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -236,6 +236,6 @@
 }
 
 /// The page that documents every field.
-pub fn page() -> String {
-    stoatwell_schema::page(FIELDS)
+pub fn markdown_table() -> String {
+    stoatwell_schema::markdown_table(FIELDS)
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -73,7 +73,7 @@
     let page = fs::read_to_string(&path).expect("docs/settings.md");
     let (before, rest) = page.split_once(BEGIN).expect("the begin mark");
     let (table, after) = rest.split_once(END).expect("the end mark");
-    let expected = stoatwell_settings::page();
+    let expected = stoatwell_settings::markdown_table();
     if std::env::var_os("UPDATE_DOCS").is_some() {
         fs::write(&path, format!("{before}{BEGIN}{expected}{END}{after}"))
             .expect("docs/settings.md");
