--- a/crates/model/src/code.rs
+++ b/crates/model/src/code.rs
@@ -1,8 +1,8 @@
-//! Numbered result codes; `docs/codes.md` tables them with cause and cure.
+//! Numbered result codes; the table in `docs/codes.md` lists them with cause and remedy.
 //!
-//! The thousands tell the kind: 1 bad input, 2 identity and names, 3
-//! catalogue, 4 not run, 5 ran and failed, 6 unknown, 7 for now, 8 settings,
-//! 9 ours.
+//! The thousands digit is the category: 1 invalid input, 2 authentication and unknown
+//! names, 3 catalogue, 4 not run, 5 ran and failed, 6 unknown, 7 temporary, 8 settings,
+//! 9 internal errors.
 
 use std::fmt;
 
@@ -11,7 +11,7 @@
 
 macro_rules! codes {
     ($($(#[doc = $text:literal])+ $name:ident = $number:literal, $status:literal, $hint:literal;)+) => {
-        /// A numbered result.
+        /// Numbered cause of a refusal or failure.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, displaydoc::Display)]
         #[serde(into = "u16", try_from = "u16")]
         pub enum Code {
@@ -19,20 +19,20 @@
         }
 
         impl Code {
-            /// Every code, in the order of their numbers.
+            /// All codes, in ascending order of their numbers.
             pub const ALL: &[Self] = &[$(Self::$name),+];
 
-            /// The number that programs compare.
+            /// Stable number for comparison by programs.
             pub fn number(self) -> u16 {
                 match self { $(Self::$name => $number),+ }
             }
 
-            /// The HTTP status that carries it.
+            /// HTTP status of a response with this code.
             pub fn http_status(self) -> u16 {
                 match self { $(Self::$name => $status),+ }
             }
 
-            /// What to do about it.
+            /// Remedy, for people.
             pub fn hint(self) -> &'static str {
                 match self { $(Self::$name => $hint),+ }
             }
@@ -142,31 +142,31 @@
     }
 }
 
-/// A refusal or failure, as callers get it.
+/// Refusal or failure in the form that callers receive.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failure {
-    /// The numbered code.
+    /// Numbered cause.
     pub code: Code,
-    /// What happened, for people.
+    /// Description of what happened, for people.
     pub message: String,
-    /// What to do about it.
+    /// Remedy, for people.
     pub hint: String,
-    /// When to come back, where that helps.
+    /// Delay before a retry; `None` if a retry does not help.
     pub retry_after_ms: Option<u64>,
-    /// Single mistakes, where there are several.
+    /// Errors of single fields; empty unless a document was checked.
     pub problems: Vec<Problem>,
 }
 
-/// One mistake in a document.
+/// Error of one field in a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
     /// JSON path of the field.
     pub path: String,
-    /// The value found, shortened.
+    /// The invalid value, shortened.
     pub value: String,
-    /// What was expected.
+    /// Description of valid values.
     pub expected: String,
-    /// What to do about it.
+    /// Remedy, or the meaning of the field.
     pub hint: String,
 }
 
@@ -178,7 +178,7 @@
 }
 
 impl Failure {
-    /// A failure that says no more than its code.
+    /// Creates a failure with the message and hint of its code.
     pub fn new(code: Code) -> Self {
         Self {
             code,
@@ -189,18 +189,18 @@
         }
     }
 
-    /// A failure that says more.
+    /// Creates a failure whose message continues with `detail`.
     pub fn with_detail(code: Code, detail: impl fmt::Display) -> Self {
         Self { message: format!("{code}: {detail}"), ..Self::new(code) }
     }
 
-    /// The same, telling when to come back.
+    /// Sets the delay before a retry.
     pub fn retry_after(mut self, retry_after_ms: u64) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
         self
     }
 
-    /// The same, listing single mistakes.
+    /// Sets the errors of single fields.
     pub fn with_problems(mut self, problems: Vec<Problem>) -> Self {
         self.problems = problems;
         self
--- a/crates/model/src/entry.rs
+++ b/crates/model/src/entry.rs
@@ -1,7 +1,7 @@
-//! Catalogue entries: what operators write.
+//! Catalogue entries, which operators write.
 //!
-//! A work entry names an owner, a class of work and the limits that the work
-//! may consume. An owner entry gives a customer's quota and what it values.
+//! A work entry names the owner, the class and the limits of one kind of work. An
+//! owner entry contains a customer's quota and its scheduling preferences.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,7 +10,7 @@
 use crate::id::OwnerName;
 use crate::resources::Resources;
 
-/// How work of an entry is scheduled.
+/// Scheduling class of an entry.
 #[derive(
     Clone,
     Copy,
@@ -36,7 +36,7 @@
     Batch,
 }
 
-/// How often a task may run.
+/// Guarantee about how often a task runs.
 #[derive(
     Clone,
     Copy,
@@ -61,13 +61,13 @@
 }
 
 impl Execution {
-    /// Whether a start must be recorded before it is sent.
+    /// Whether an intent must be durable before the start of a task is sent.
     pub fn needs_intent(self) -> bool {
         !matches!(self, Self::Idempotent)
     }
 }
 
-/// How soon work should start, most pressing first.
+/// How soon work should start. The order of variants is descending urgency.
 #[derive(
     Clone,
     Copy,
@@ -91,50 +91,50 @@
     Patient,
 }
 
-/// One kind of work.
+/// Catalogue entry of one kind of work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkEntry {
-    /// The entry's name.
+    /// Name that submissions refer to.
     pub name: EntryName,
-    /// Whose work it is.
+    /// Customer to which the work belongs.
     pub owner: OwnerName,
-    /// How it is scheduled.
+    /// How jobs of the entry are scheduled.
     pub class: Class,
-    /// How often a task may run.
+    /// Guarantee about how often a task runs.
     pub execution: Execution,
-    /// How soon it should start.
-    #[serde(default = "normal")]
+    /// How soon jobs of the entry should start.
+    #[serde(default = "default_urgency")]
     pub urgency: Urgency,
-    /// What one task needs, as declared.
+    /// Declared demand of one task.
     #[serde(default)]
     pub task: Resources,
-    /// What the work may consume.
+    /// Upper bounds for the jobs of the entry.
     #[serde(default)]
     pub limits: Limits,
-    /// The minions that answer its requests; requests only.
+    /// Group of minions that answers the requests; set only for [`Class::Request`].
     #[serde(default)]
     pub minions: Option<String>,
-    /// Share of callers' submissions accepted, in thousandths; the rest stay with the old system.
-    #[serde(default = "whole")]
+    /// Share of submissions to accept, in thousandths. The rest stay with the old system.
+    #[serde(default = "default_traffic_permille")]
     pub traffic_permille: u32,
 }
 
-/// What the work of one entry may consume.
+/// Upper bounds for the jobs of one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Tasks of one job.
+    /// Maximum number of tasks in one job.
     pub tasks_per_job: u32,
-    /// Jobs that wait at one daemon.
+    /// Maximum number of jobs that wait at one daemon.
     pub queued_jobs: u32,
-    /// Tasks that run at once, in the whole cell.
+    /// Maximum number of tasks that run concurrently in the whole cell.
     pub running_tasks: u32,
-    /// From acceptance to the last moment at which the answer is of use; 0 is no limit.
+    /// Time from acceptance until the answer is of no use any more; 0 means no limit.
     pub deadline_ms: u64,
-    /// Tries for one task; only work that may run again is tried again.
+    /// Maximum number of attempts for one task. Only work that may run again is retried.
     pub attempts: u32,
-    /// Body of a submission.
+    /// Maximum size of a submission's body.
     pub body_bytes: u64,
 }
 
@@ -151,31 +151,31 @@
     }
 }
 
-/// One customer: its quota and what it values.
+/// Catalogue entry of one customer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OwnerEntry {
-    /// The owner's name.
+    /// Name of the customer.
     pub owner: OwnerName,
-    /// What all its running work may hold together.
+    /// Resources that all its running work may use together.
     pub quota: Resources,
-    /// SHA-256 of the bearer token its callers use, in hexadecimal.
+    /// SHA-256 of its callers' bearer token in hexadecimal; `None` if it has no token.
     #[serde(default)]
     pub token_sha256: Option<String>,
-    /// What the owner values, relative to each other.
+    /// Scheduling preferences, relative to each other.
     #[serde(default)]
     pub weights: Weights,
 }
 
-/// What an owner values.
+/// Weights of an owner's scheduling preferences, relative to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Weights {
-    /// Starting soon.
+    /// Short waiting time.
     pub waiting: u32,
-    /// Filling instances.
+    /// High utilization of instances.
     pub packing: u32,
-    /// Little control traffic.
+    /// Low control traffic.
     pub control: u32,
 }
 
@@ -185,18 +185,18 @@
     }
 }
 
-/// Anything an operator can apply.
+/// An entry that an operator can apply.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Entry {
-    /// One kind of work.
+    /// Entry of one kind of work.
     Work(WorkEntry),
-    /// One customer.
+    /// Entry of one customer.
     Owner(OwnerEntry),
 }
 
 impl Entry {
-    /// The name under which the catalogue keeps it.
+    /// Name of the entry, or of the owner for [`Entry::Owner`].
     pub fn name(&self) -> &str {
         match self {
             Self::Work(work) => work.name.as_str(),
@@ -205,10 +205,10 @@
     }
 }
 
-fn normal() -> Urgency {
+fn default_urgency() -> Urgency {
     Urgency::Normal
 }
 
-fn whole() -> u32 {
+fn default_traffic_permille() -> u32 {
     1_000
 }
--- a/crates/model/src/id.rs
+++ b/crates/model/src/id.rs
@@ -1,8 +1,8 @@
-//! Names and numbers that identify things.
+//! Names and numeric identifiers.
 //!
 //! Names are short strings that people choose; they are cheap to clone. A
-//! [`JobId`] is derived from the owner and the caller's idempotency key, so
-//! any daemon finds the record of a key without an index of its own.
+//! [`JobId`] is derived from the owner and the caller's idempotency key, so any
+//! daemon finds the record for a key without a separate index.
 
 use std::fmt;
 use std::str::FromStr;
@@ -15,7 +15,7 @@
 use sha2::Digest;
 use sha2::Sha256;
 
-/// Longest accepted name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const NAME_MAX_BYTES: usize = 64;
 
 macro_rules! name {
@@ -26,12 +26,14 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps a name that has been checked elsewhere or is ours.
+            /// Wraps a name without validating it.
+            ///
+            /// The name must have been validated elsewhere or come from this program.
             pub fn new(name: impl AsRef<str>) -> Self {
                 Self(Arc::from(name.as_ref()))
             }
 
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -58,51 +60,53 @@
 }
 
 name!(
-    /// A machine that runs tasks.
+    /// Name of a machine that runs tasks.
     WorkerId
 );
 name!(
-    /// One daemon on one entry instance.
+    /// Name of a daemon; one runs on each entry instance.
     DaemonId
 );
 name!(
-    /// A back end that answers requests.
+    /// Name of a back end that answers requests.
     MinionId
 );
 name!(
-    /// A catalogue entry.
+    /// Name of a catalogue entry.
     EntryName
 );
 name!(
-    /// A customer of the cell.
+    /// Name of a customer of the cell.
     OwnerName
 );
 name!(
-    /// A customer of a pool, as the manifest names it.
+    /// Name of a customer of a pool, as in the manifest.
     CustomerName
 );
 name!(
-    /// An availability zone.
+    /// Name of an availability zone.
     ZoneName
 );
 name!(
-    /// A region: one or more availability zones.
+    /// Name of a region, which consists of one or more availability zones.
     RegionName
 );
 
-/// Whether a name is 1 to 64 bytes of `a-z`, `0-9`, `-`, `_` and `.`.
+/// Whether a name consists of 1 to 64 bytes of `a-z`, `0-9`, `-`, `_` and `.`.
 pub fn is_valid_name(name: &str) -> bool {
     let allowed =
         |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || b"-_.".contains(&byte);
     (1..=NAME_MAX_BYTES).contains(&name.len()) && name.bytes().all(allowed)
 }
 
-/// One accepted piece of work, the same for every submission of its key.
+/// Identifier of a job, the same for every submission with the same idempotency key.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u128);
 
 impl JobId {
-    /// The id that this owner's idempotency key always gets.
+    /// Derives the identifier from the owner and the owner's idempotency key.
+    ///
+    /// The result is the first 128 bits of a SHA-256 and never changes for a key.
     pub fn from_key(owner: &OwnerName, key: &str) -> Self {
         let mut hasher = Sha256::new();
         hasher.update(owner.as_str().as_bytes());
@@ -144,7 +148,7 @@
     }
 }
 
-// Text in JSON, 16 bytes on the wire between daemons.
+// A hexadecimal string in JSON, and a `u128` in the binary format between daemons.
 impl Serialize for JobId {
     fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         if serializer.is_human_readable() {
@@ -164,16 +168,16 @@
     }
 }
 
-/// One try to run one task of a job; a worker starts each id at most once.
+/// Identifier of one attempt to run a task. A worker starts each attempt at most once.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, SerializeDisplay, DeserializeFromStr,
 )]
 pub struct AttemptId {
-    /// The job.
+    /// Job to which the task belongs.
     pub job: JobId,
-    /// Which of the job's tasks, from 0.
+    /// Index of the task within the job, counted from 0.
     pub task: u32,
-    /// Which try, from 1.
+    /// Number of the attempt, counted from 1.
     pub attempt: u32,
 }
 
--- a/crates/model/src/job.rs
+++ b/crates/model/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs: what is kept of them and what callers are told.
+//! Jobs: submissions, durable records, and the view that callers get.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -17,130 +17,131 @@
 use crate::resources::Resources;
 use crate::worker::Token;
 
-/// What a caller submits.
+/// Body of a caller's submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Submission {
-    /// The catalogue entry to run.
+    /// Catalogue entry to run.
     pub entry: EntryName,
-    /// How many tasks; 1 unless said.
-    #[serde(default = "one")]
+    /// Number of tasks; 1 by default.
+    #[serde(default = "default_tasks")]
     pub tasks: u32,
-    /// What one task needs, where it differs from the entry.
+    /// Demand of one task; `None` means as declared by the entry.
     #[serde(default)]
     pub demand: Option<Resources>,
-    /// From now to the last moment at which the answer is of use; the entry's where absent.
+    /// Time from now until the answer is of no use any more; `None` means the entry's limit.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
-    /// What to run or ask, opaque to us.
+    /// What to run or to ask; not interpreted by the daemon.
     #[serde(default)]
     pub body: String,
 }
 
-fn one() -> u32 {
+fn default_tasks() -> u32 {
     1
 }
 
-/// The durable record of a job.
+/// Durable record of a job, stored in the platform's table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// The job.
+    /// Identifier derived from `owner` and `key`.
     pub job: JobId,
-    /// Whose it is.
+    /// Customer to which the job belongs.
     pub owner: OwnerName,
-    /// The caller's idempotency key.
+    /// Idempotency key of the submission.
     pub key: String,
-    /// Hash of what was submitted; another content under the same key is refused.
+    /// Hash of the submission; a different content under the same key is refused.
     pub content_hash: u64,
-    /// The entry.
+    /// Catalogue entry to which it was submitted.
     pub entry: EntryName,
-    /// The entry's class when it was accepted.
+    /// Class of the entry when the job was accepted.
     pub class: Class,
-    /// The entry's promise when it was accepted.
+    /// Execution guarantee of the entry when the job was accepted.
     pub execution: Execution,
-    /// The entry's urgency when it was accepted.
+    /// Urgency of the entry when the job was accepted.
     pub urgency: Urgency,
-    /// How many tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// What one task needs.
+    /// Declared demand of one task.
     pub demand: Resources,
-    /// What to run; empty where it is kept as an object.
+    /// What to run; empty if the body is in the object store.
     pub body: String,
-    /// The object that keeps the body, where it is large.
+    /// Key of the body in the object store; `None` unless the body is large.
     pub body_object: Option<String>,
-    /// When it was accepted.
+    /// Time of acceptance.
     pub accepted_ms: UnixMs,
-    /// When its answer loses its use; 0 is never.
+    /// Time from which the answer is of no use any more; 0 means never.
     pub deadline_ms: UnixMs,
-    /// The availability zone that runs it.
+    /// Availability zone in which it is scheduled.
     pub zone: ZoneName,
-    /// The daemon that runs it.
+    /// Daemon that schedules the job and writes this record.
     pub coordinator: DaemonId,
-    /// Rises with every change of coordinator.
+    /// Increases with every change of coordinator.
     pub epoch: u64,
-    /// Starts that may have been sent, one for each task that had one.
+    /// Starts that may have been sent, at most one for each task.
     pub intents: Vec<Intent>,
-    /// Whether any task was seen to have started.
+    /// Whether any task is known to have started.
     #[serde(default)]
     pub started: bool,
     /// Whether a cancellation was accepted.
     pub cancelled: bool,
-    /// The outcome, once it is final.
+    /// Outcome of the job; `None` until it is final.
     pub outcome: Option<Outcome>,
-    /// When the outcome became final; 0 before.
+    /// Time at which the outcome became final; 0 before.
     pub finished_ms: UnixMs,
-    /// Names the write that produced this version, so that a lost answer can be told by reading.
+    /// Identifier of the write that produced this version. After a lost response, a
+    /// read of the row shows by this identifier whether the write took effect.
     pub write_id: u64,
 }
 
-/// A start that may have been sent.
+/// Durable note, written before a start is sent, that the start may have been sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
-    /// The task.
+    /// Index of the task within the job.
     pub task: u32,
-    /// The try.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// The only worker it may start on; for a request, the worker that hosts the minion.
+    /// The only worker on which the attempt may start; for a request, the minion's host.
     pub worker: WorkerId,
-    /// The token under which it may start.
+    /// Fencing token with which the start is sent.
     pub token: Token,
-    /// The minion's address, for a request.
+    /// Address of the minion; set only for a request.
     pub minion: Option<String>,
 }
 
-/// How a job ended.
+/// Final result of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// All tasks ended well.
+    /// All tasks succeeded.
     Done {
-        /// The answer, whole.
+        /// The complete answer.
         answer: String,
     },
-    /// It ran and failed, or was stopped after it had started.
+    /// The job ran and failed, or was stopped after it had started.
     Failed {
-        /// Why.
+        /// Numbered cause.
         code: Code,
-        /// More of why.
+        /// Further explanation for people.
         detail: String,
     },
-    /// It never ran and never will.
+    /// The job never ran and never will.
     NotRun {
-        /// Why.
+        /// Numbered cause.
         code: Code,
-        /// More of why.
+        /// Further explanation for people.
         detail: String,
     },
-    /// It may have run; nothing left can tell.
+    /// The job may have run, and there is no way left to find out.
     Unknown {
-        /// Why.
+        /// Numbered cause.
         code: Code,
-        /// More of why.
+        /// Further explanation for people.
         detail: String,
     },
 }
 
-/// Where a job stands.
+/// State of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, displaydoc::Display)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
@@ -159,14 +160,14 @@
 }
 
 impl JobState {
-    /// Whether it can still change.
+    /// Whether no further change of state is possible.
     pub fn is_final(self) -> bool {
         !matches!(self, Self::Queued | Self::Running)
     }
 }
 
 impl Outcome {
-    /// The state that it gives the job.
+    /// State of a job with this outcome.
     pub fn state(&self) -> JobState {
         match self {
             Self::Done { .. } => JobState::Done,
@@ -177,37 +178,37 @@
     }
 }
 
-/// What a caller is told of a job.
+/// View of a job in responses to callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
-    /// The job.
+    /// Identifier under which the job can be queried.
     pub job: JobId,
-    /// Whose it is.
+    /// Customer to which the job belongs.
     pub owner: OwnerName,
-    /// The entry.
+    /// Catalogue entry to which it was submitted.
     pub entry: EntryName,
-    /// The entry's class.
+    /// Class of the entry when the job was accepted.
     pub class: Class,
-    /// Where it stands.
+    /// State at the coordinator.
     pub state: JobState,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: u32,
-    /// Tasks that run now.
+    /// Number of tasks whose start was sent and that have not ended.
     pub running: u32,
-    /// Tasks that ended well.
+    /// Number of tasks that succeeded.
     pub done: u32,
-    /// Where tasks run or ran, at most the first few.
+    /// Workers on which tasks run or ran; only the first few if there are many.
     pub workers: Vec<WorkerId>,
-    /// The daemon that runs it.
+    /// Daemon that schedules the job.
     pub coordinator: DaemonId,
-    /// The availability zone that runs it.
+    /// Availability zone in which it is scheduled.
     pub zone: ZoneName,
-    /// When it was accepted.
+    /// Time of acceptance.
     pub accepted_ms: UnixMs,
-    /// From acceptance to the first start, where one was seen.
+    /// Time from acceptance to the first start; `None` if none was sent by this coordinator.
     pub waited_ms: Option<u64>,
-    /// The outcome, once it is final.
+    /// Outcome of the job; `None` until it is final.
     pub outcome: Option<Outcome>,
-    /// Why it waits, or why it ran where it ran, for people.
+    /// Events and reasons for waiting or placement, for people.
     pub reasons: Vec<String>,
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,8 @@
-//! Ids, units, catalogue entries, jobs and result codes shared by every crate.
+//! Identifiers, units, catalogue entries, jobs and result codes that all crates share.
 //!
-//! Nothing here decides anything: these are the nouns. Times are milliseconds
-//! since the Unix epoch unless a name says otherwise, sizes are bytes, and
-//! processors are counted in thousandths of a core.
+//! The crate holds data types only, no scheduling decisions. Unless a name says
+//! otherwise, times are milliseconds since the Unix epoch, sizes are in bytes, and
+//! CPU is counted in thousandths of a core.
 
 pub mod code;
 pub mod entry;
@@ -37,5 +37,5 @@
 pub use target::Target;
 pub use target::TargetState;
 
-/// Milliseconds since the Unix epoch, or since a test's start.
+/// Milliseconds since the Unix epoch, or since the start of a test.
 pub type UnixMs = u64;
--- a/crates/model/src/peer.rs
+++ b/crates/model/src/peer.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of themselves.
+//! Identity, heartbeat and capacity summary that daemons exchange.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,67 +9,68 @@
 use crate::id::ZoneName;
 use crate::resources::Resources;
 
-/// Who a daemon is.
+/// Identity of one run of a daemon process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Identity {
-    /// The daemon.
+    /// Name of the daemon, the same after a restart.
     pub daemon: DaemonId,
-    /// Its availability zone.
+    /// Availability zone in which it runs.
     pub zone: ZoneName,
-    /// Its region.
+    /// Region of that zone.
     pub region: RegionName,
-    /// Where peers reach it, IP and port.
+    /// IP and port at which peers connect to it.
     pub peer_address: String,
-    /// Rises with every start of the process, so that a restart is not taken for the old one.
+    /// Increases with every start of the process, so that peers tell a restarted
+    /// process from the previous one.
     pub incarnation: u64,
 }
 
-/// A daemon's sign of life.
+/// Periodic message by which a daemon shows that it is alive.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender.
+    /// Identity of the sender.
     pub from: Identity,
-    /// The catalogue revision in force at the sender.
+    /// Catalogue revision in force at the sender.
     pub revision: u64,
-    /// Whether it is about to stop and takes nothing new.
+    /// Whether the sender is shutting down and accepts no new work.
     pub stopping: bool,
-    /// What it can place; left out while nothing worth telling changed.
+    /// Capacity of the sender's workers; `None` if there was no significant change.
     pub summary: Option<Summary>,
 }
 
-/// What a daemon's workers can take, in short.
+/// Capacity of the workers that a daemon holds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Workers it holds.
+    /// Number of workers on which the daemon holds a lease.
     pub workers: u32,
-    /// Tasks that wait at it.
+    /// Number of tasks that wait at the daemon.
     pub queued: u32,
-    /// Tasks that run on its workers.
+    /// Number of tasks that run on its workers.
     pub running: u32,
-    /// One line for each owner that its workers serve.
+    /// One item for each owner that its workers serve.
     pub owners: Vec<OwnerSummary>,
-    /// One line for each minion group.
+    /// One item for each minion group.
     pub groups: Vec<GroupSummary>,
 }
 
-/// What one owner can get from a daemon.
+/// Capacity for one owner on the workers of a daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OwnerSummary {
-    /// The owner.
+    /// Owner that these workers serve.
     pub owner: OwnerName,
-    /// The most that is free on one worker, resource by resource.
+    /// Largest free amount on any one worker, separately for each resource.
     pub largest_free: Resources,
-    /// The most that one empty worker holds, resource by resource.
+    /// Largest capacity of any one worker when empty, separately for each resource.
     pub largest: Resources,
 }
 
-/// What one minion group can take.
+/// Capacity of one minion group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupSummary {
-    /// The group.
+    /// Name of the group, as entries refer to it.
     pub group: String,
-    /// Slots that are free now.
+    /// Number of requests that the group can take at present.
     pub free_slots: u32,
-    /// Slots in all.
+    /// Total number of slots, free or in use.
     pub slots: u32,
 }
--- a/crates/model/src/resources.rs
+++ b/crates/model/src/resources.rs
@@ -1,22 +1,22 @@
-//! Amounts of processors, memory and accelerators.
+//! Amounts of CPU, memory and accelerators.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a worker holds, or what a task needs.
+/// Amounts of all resources, such as a worker's capacity or a task's demand.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Resources {
-    /// Thousandths of a processor core.
+    /// CPU in thousandths of a core.
     pub cpu_millis: u64,
-    /// Bytes of memory.
+    /// Memory in bytes.
     pub memory_bytes: u64,
-    /// Whole accelerators.
+    /// Number of whole accelerators.
     #[serde(default)]
     pub accelerators: u64,
 }
 
-/// A resource by name, for reasons shown to people.
+/// Name of a resource in explanations for people.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, displaydoc::Display)]
 #[serde(rename_all = "snake_case")]
 pub enum ResourceKind {
@@ -29,15 +29,16 @@
 }
 
 impl Resources {
-    /// Nothing at all.
+    /// No amount of any resource.
     pub const ZERO: Self = Self { cpu_millis: 0, memory_bytes: 0, accelerators: 0 };
 
-    /// Whether `self` is enough for `need`.
+    /// Whether no resource of `self` is less than in `need`.
     pub fn holds(&self, need: &Self) -> bool {
         self.first_shortage(need).is_none()
     }
 
-    /// The first resource of which `self` has too little for `need`.
+    /// First resource of which `self` has less than `need`, in the order accelerators,
+    /// memory, CPU.
     pub fn first_shortage(&self, need: &Self) -> Option<ResourceKind> {
         if need.accelerators > self.accelerators {
             return Some(ResourceKind::Accelerators);
@@ -48,7 +49,7 @@
         (need.cpu_millis > self.cpu_millis).then_some(ResourceKind::Cpu)
     }
 
-    /// The sum, stopping at the largest number.
+    /// Sum of each resource, saturating at `u64::MAX`.
     pub fn plus(&self, other: &Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_add(other.cpu_millis),
@@ -57,7 +58,7 @@
         }
     }
 
-    /// The difference, stopping at zero.
+    /// Difference of each resource, saturating at zero.
     pub fn minus(&self, other: &Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_sub(other.cpu_millis),
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Each resource `count` times.
+    /// Product of each resource and `count`, saturating at `u64::MAX`.
     pub fn times(&self, count: u64) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_mul(count),
@@ -75,15 +76,16 @@
         }
     }
 
-    /// How many times it holds `need`.
+    /// How many times `need` fits into `self`; `u64::MAX` if `need` is zero.
     pub fn fit_count(&self, need: &Self) -> u64 {
-        let times = |all: u64, one: u64| all.checked_div(one).unwrap_or(u64::MAX);
-        times(self.cpu_millis, need.cpu_millis)
-            .min(times(self.memory_bytes, need.memory_bytes))
-            .min(times(self.accelerators, need.accelerators))
+        let quotient =
+            |available: u64, needed: u64| available.checked_div(needed).unwrap_or(u64::MAX);
+        quotient(self.cpu_millis, need.cpu_millis)
+            .min(quotient(self.memory_bytes, need.memory_bytes))
+            .min(quotient(self.accelerators, need.accelerators))
     }
 
-    /// The larger of the two, resource by resource.
+    /// Maximum of the two, separately for each resource.
     pub fn max(&self, other: &Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.max(other.cpu_millis),
@@ -92,31 +94,34 @@
         }
     }
 
-    /// The part `numerator / denominator` of each resource, rounded down.
+    /// Fraction `numerator / denominator` of each resource, rounded down.
+    ///
+    /// A denominator of 0 counts as 1.
     pub fn share(&self, numerator: u64, denominator: u64) -> Self {
-        let part = |amount: u64| {
+        let scale = |amount: u64| {
             let scaled =
                 u128::from(amount) * u128::from(numerator) / u128::from(denominator.max(1));
             u64::try_from(scaled).unwrap_or(u64::MAX)
         };
         Self {
-            cpu_millis: part(self.cpu_millis),
-            memory_bytes: part(self.memory_bytes),
-            accelerators: part(self.accelerators),
+            cpu_millis: scale(self.cpu_millis),
+            memory_bytes: scale(self.memory_bytes),
+            accelerators: scale(self.accelerators),
         }
     }
 
-    /// The used part of the scarcest resource of `capacity`, from 0 to 1.
+    /// Largest fraction of any resource of `capacity` that `self` uses, normally from 0
+    /// to 1; a resource without capacity counts as 0.
     pub fn dominant_share(&self, capacity: &Self) -> f64 {
-        let part = |used: u64, all: u64| {
-            if all == 0 { 0.0 } else { used as f64 / all as f64 }
+        let fraction = |used: u64, total: u64| {
+            if total == 0 { 0.0 } else { used as f64 / total as f64 }
         };
-        part(self.cpu_millis, capacity.cpu_millis)
-            .max(part(self.memory_bytes, capacity.memory_bytes))
-            .max(part(self.accelerators, capacity.accelerators))
+        fraction(self.cpu_millis, capacity.cpu_millis)
+            .max(fraction(self.memory_bytes, capacity.memory_bytes))
+            .max(fraction(self.accelerators, capacity.accelerators))
     }
 
-    /// Whether there is nothing of any resource.
+    /// Whether the amount of every resource is zero.
     pub fn is_zero(&self) -> bool {
         *self == Self::ZERO
     }
--- a/crates/model/src/target.rs
+++ b/crates/model/src/target.rs
@@ -1,7 +1,7 @@
-//! Targets: which owner may use a worker, and how it changes hands.
+//! Targets: which owner may use a worker, and how a worker passes to another owner.
 //!
-//! A target's epoch rises with every change of its state. Both owners read
-//! the same row, so at every moment exactly one of them may start work on it.
+//! A target's epoch increases with every change of its state. Both owners read the
+//! same row, so at any time at most one of them may start work on the worker.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,25 +9,25 @@
 use crate::id::OwnerName;
 use crate::id::WorkerId;
 
-/// A worker as the catalogue sees it.
+/// Catalogue item that assigns a worker to an owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// The worker.
+    /// Name of the worker.
     pub worker: WorkerId,
-    /// The only owner whose work may run here.
+    /// The only owner whose work may run on the worker.
     pub owner: OwnerName,
-    /// What may happen here now.
+    /// Whether work may start on the worker.
     pub state: TargetState,
-    /// The owner that gets it once it is empty.
+    /// Owner to which the worker passes once it is empty; `None` if it stays with `owner`.
     #[serde(default)]
     pub next_owner: Option<OwnerName>,
-    /// Rises with every change.
+    /// Increases with every change of the target.
     #[serde(default)]
     pub epoch: u64,
 }
 
-/// What may happen on a target.
+/// State of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, displaydoc::Display)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetState {
@@ -39,30 +39,32 @@
     Retired,
 }
 
-/// What an operator asks of a target.
+/// Requested change of a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetChange {
-    /// Serve this owner; a target that serves another one drains first.
+    /// Serve this owner. A target that serves another owner drains first.
     Start {
-        /// The owner to serve.
+        /// Owner to serve.
         owner: OwnerName,
     },
-    /// Start nothing new and let what runs come to its end.
+    /// Start no new work and let running work finish.
     Drain,
-    /// Drain, then leave the cell for good.
+    /// Drain, then leave the cell permanently.
     Retire,
-    /// The holder saw that nothing of the old owner is left.
+    /// The lease holder found that no work of the old owner is left.
     Emptied,
 }
 
 impl Target {
-    /// Whether work of this owner may start here now.
+    /// Whether work of this owner may start on the worker.
     pub fn serves(&self, owner: &OwnerName) -> bool {
         self.state == TargetState::Serving && self.owner == *owner
     }
 
-    /// The target after `change`, or `None` where the change makes no sense.
+    /// Applies `change`; returns `None` if it is not valid in the current state.
+    ///
+    /// `current` is `None` for a worker that is not in the catalogue yet.
     pub fn transition(
         current: Option<&Self>,
         worker: &WorkerId,
@@ -78,7 +80,7 @@
                 epoch,
             }),
             (None, _) => None,
-            (Some(target), TargetChange::Start { owner }) => Some(target.started_for(owner, epoch)),
+            (Some(target), TargetChange::Start { owner }) => Some(target.start(owner, epoch)),
             (Some(target), TargetChange::Drain) => Some(Self {
                 state: TargetState::Draining,
                 next_owner: None,
@@ -91,11 +93,11 @@
                 epoch,
                 ..target.clone()
             }),
-            (Some(target), TargetChange::Emptied) => target.emptied(epoch),
+            (Some(target), TargetChange::Emptied) => target.hand_over(epoch),
         }
     }
 
-    fn started_for(&self, owner: &OwnerName, epoch: u64) -> Self {
+    fn start(&self, owner: &OwnerName, epoch: u64) -> Self {
         if self.owner == *owner {
             return Self { state: TargetState::Serving, next_owner: None, epoch, ..self.clone() };
         }
@@ -107,7 +109,7 @@
         }
     }
 
-    fn emptied(&self, epoch: u64) -> Option<Self> {
+    fn hand_over(&self, epoch: u64) -> Option<Self> {
         let owner = self.next_owner.clone()?;
         if self.state != TargetState::Draining {
             return None;
--- a/crates/model/src/worker.rs
+++ b/crates/model/src/worker.rs
@@ -1,4 +1,4 @@
-//! What a worker says of itself and accepts from its holder.
+//! What a worker reports and what it accepts from its lease holder.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,133 +9,136 @@
 use crate::id::WorkerId;
 use crate::resources::Resources;
 
-/// Rises each time a worker gets another holder; a worker refuses lower ones.
+/// Fencing token of a lease on a worker.
+///
+/// It increases each time the worker's lease passes to another holder. A worker
+/// refuses calls with a lower token than the highest that it has granted.
 pub type Token = u64;
 
-/// Everything a worker knows; enough for a new holder to start from.
+/// Complete state of a worker, sufficient for a new lease holder to take over.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerState {
-    /// The worker.
+    /// Name of the worker.
     pub worker: WorkerId,
-    /// What it holds in all.
+    /// Total capacity, including what is in use.
     pub capacity: Resources,
-    /// Where it stands, for spreading.
+    /// Failure domain over which tasks are spread.
     pub rack: String,
-    /// The highest token it has granted.
+    /// Highest token that the worker has granted.
     pub token: Token,
-    /// Tasks that run, and finished ones that nobody has acknowledged.
+    /// Running tasks, and finished tasks that have not been acknowledged.
     pub tasks: Vec<TaskReport>,
-    /// Back ends that it hosts.
+    /// Back ends that the worker hosts.
     pub minions: Vec<MinionState>,
-    /// Capacity used by something that is not ours.
+    /// Capacity used by something other than our tasks.
     pub foreign: Resources,
 }
 
-/// A back end on a worker.
+/// State of a back end on a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MinionState {
-    /// The minion.
+    /// Name of the minion.
     pub minion: MinionId,
-    /// The group that entries name.
+    /// Group to which entries refer.
     pub group: String,
-    /// IP and port where it answers.
+    /// IP and port at which it answers requests.
     pub address: String,
-    /// Requests it takes at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Connections it takes.
+    /// Maximum number of connections.
     pub connections: u32,
-    /// Requests it is working on now.
+    /// Number of requests in progress.
     pub busy: u32,
 }
 
-/// One task as the worker sees it.
+/// State of one task on a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskReport {
-    /// The attempt.
+    /// Attempt that the worker was told to start.
     pub attempt: AttemptId,
-    /// What was set aside for it.
+    /// Resources allocated to the task.
     pub demand: Resources,
-    /// What it used when last looked at; late by design.
+    /// Last observed usage. It lags behind the actual usage by design.
     pub usage: Resources,
-    /// Who was told to hear about it.
+    /// Daemon that is to be informed about the task.
     pub coordinator: DaemonId,
-    /// Entry it belongs to, as given at the start.
+    /// Name of its catalogue entry, as given with the start.
     pub entry: String,
-    /// How far it is.
+    /// Whether the task runs or how it ended.
     pub state: TaskState,
 }
 
-/// How far a task is.
+/// State of a task on a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// Running.
+    /// The task has started and has not ended.
     Running,
-    /// Ended by itself, successfully.
+    /// The task ended by itself, successfully.
     Done {
-        /// What it printed for its owner.
+        /// Output for its owner.
         answer: String,
     },
-    /// Ended by itself with an error.
+    /// The task ended by itself with an error.
     Failed {
-        /// Why, as the worker tells it.
+        /// Cause, as reported by the worker.
         reason: String,
     },
-    /// Ended by a stop from its holder, or by a lapsed lease.
+    /// The task was ended by the lease holder, or because the lease expired.
     Stopped {
-        /// Whether its progress was saved.
+        /// Whether a checkpoint was saved.
         checkpointed: bool,
     },
 }
 
 impl TaskState {
-    /// Whether it uses resources.
+    /// Whether the task occupies resources.
     pub fn is_running(&self) -> bool {
         matches!(self, Self::Running)
     }
 }
 
-/// One task to start.
+/// Order to start one task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartTask {
-    /// The attempt; starting the same one twice has no further effect.
+    /// Attempt to start; starting the same one a second time has no effect.
     pub attempt: AttemptId,
-    /// What to set aside.
+    /// Resources to allocate.
     pub demand: Resources,
-    /// Who hears about it.
+    /// Daemon that is to be informed about the task.
     pub coordinator: DaemonId,
-    /// The entry's name.
+    /// Name of the catalogue entry.
     pub entry: String,
-    /// What to run, opaque to us.
+    /// What to run; not interpreted by the daemon.
     pub payload: String,
-    /// How long it may go on after the worker's lease has lapsed; no limit where absent.
+    /// How long the task may continue after the worker's lease expired; `None` means no limit.
     pub orphan_ms: Option<u64>,
 }
 
-/// What became of one start.
+/// Response of a worker to one [`StartTask`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StartReply {
-    /// It runs, or had been started before.
+    /// The task runs, or had been started before.
     Started,
-    /// It did not start and this attempt never will.
+    /// The task did not start, and this attempt never will.
     Refused {
-        /// Why, as the worker tells it.
+        /// Cause, as reported by the worker.
         reason: String,
     },
 }
 
-/// How to end or slow a task.
+/// How to stop or throttle a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StopMode {
-    /// End it now.
+    /// Stop the task immediately.
     Stop,
-    /// Save its progress, then end it.
+    /// Save a checkpoint, then stop the task.
     Checkpoint,
-    /// Let it go on with this much processor.
+    /// Let the task continue with limited CPU.
     Throttle {
-        /// Thousandths of a core.
+        /// Limit in thousandths of a core.
         cpu_millis: u64,
     },
 }
--- a/crates/schema/src/lib.rs
+++ b/crates/schema/src/lib.rs
@@ -1,9 +1,9 @@
-//! Checks a JSON document against a table of fields and finds every mistake at once.
+//! Checks a JSON document against a table of fields and reports all errors at once.
 //!
-//! Settings and catalogue entries are written by people, who would rather mend
-//! ten mistakes in one go than meet them one by one. A [`Field`] states a
-//! path, a kind, bounds, a default and what the field is for; the same table
-//! makes the page that documents it.
+//! Settings and catalogue entries are written by people, who prefer to fix ten errors
+//! in one go over discovering them one by one. A [`Field`] states the path, the kind
+//! with its bounds, the default and the purpose of a field. [`markdown_table`] renders
+//! the same table for the documentation.
 
 mod markdown;
 
@@ -17,29 +17,29 @@
 
 pub use markdown::markdown_table;
 
-/// Longest part of a wrong value that is shown again, in characters.
+/// Maximum number of characters of an invalid value to repeat in an error.
 const SHOWN_CHARS_MAX: usize = 60;
 
-/// One field of a document.
+/// Description of one field of a document.
 #[derive(Clone, Copy, Debug)]
 pub struct Field {
-    /// Names from the root, joined by dots.
+    /// Names from the root to the field, joined by dots.
     pub path: &'static str,
-    /// What values it takes.
+    /// Type and bounds of valid values.
     pub kind: Kind,
-    /// Its default as JSON; `None` where it must be given.
+    /// Default value as JSON; `None` if the field is required.
     pub default: Option<&'static str>,
-    /// What it is for, with its unit.
+    /// Purpose of the field, with its unit.
     pub doc: &'static str,
 }
 
 impl Field {
-    /// A field that must be given.
+    /// Describes a field that a document must contain.
     pub const fn required(path: &'static str, kind: Kind, doc: &'static str) -> Self {
         Self { path, kind, default: None, doc }
     }
 
-    /// A field with a default, written as JSON.
+    /// Describes a field that a document may omit; `default` is JSON.
     pub const fn optional(
         path: &'static str,
         kind: Kind,
@@ -50,28 +50,30 @@
     }
 }
 
-/// What values a field takes.
+/// Type and bounds of a field's values.
 #[derive(Clone, Copy, Debug)]
 pub enum Kind {
-    /// A name of the catalogue or of a daemon.
+    /// A name that [`is_valid_name`] accepts.
     Name,
-    /// Any text up to this many bytes.
+    /// A string of at most this many bytes.
     Text(usize),
-    /// IP and port.
+    /// An IP address with a port.
     Address,
-    /// true or false.
+    /// A boolean.
     Flag,
-    /// One of these texts.
+    /// One of these strings.
     Choice(&'static [&'static str]),
-    /// A whole number within these bounds.
+    /// An integer within these inclusive bounds.
     Number(u64, u64),
-    /// A SHA-256 in hexadecimal.
+    /// A SHA-256 hash in hexadecimal.
     Hash,
-    /// A list of SHA-256 in hexadecimal.
+    /// A list of SHA-256 hashes in hexadecimal.
     Hashes,
 }
 
-/// Checks `document` and fills in defaults; problems are in the order of the table.
+/// Validates `document` and fills in defaults.
+///
+/// Returns the problems of the fields in the order of the table, then unknown fields.
 pub fn check(fields: &[Field], document: &Value) -> Result<Value, Vec<Problem>> {
     let mut problems = Vec::new();
     if !document.is_object() {
@@ -85,30 +87,30 @@
     }
     let mut checked = Value::Object(Map::new());
     for field in fields {
-        match find(document, field.path) {
-            Found::Value(value) if value.is_null() && nullable(field) => {
+        match look_up(document, field.path) {
+            Lookup::Value(value) if value.is_null() && is_nullable(field) => {
                 insert(&mut checked, field.path, Value::Null);
             }
-            Found::Value(value) => {
-                problems.extend(mistake(field, value));
+            Lookup::Value(value) => {
+                problems.extend(check_value(field, value));
                 insert(&mut checked, field.path, value.clone());
             }
-            Found::Absent => match field.default {
+            Lookup::Absent => match field.default {
                 Some(default) => {
                     let value = serde_json::from_str(default).unwrap_or(Value::Null);
                     insert(&mut checked, field.path, value);
                 }
-                None => problems.push(missing(field)),
+                None => problems.push(missing_field(field)),
             },
-            // Told once for the object itself, below.
-            Found::NotAnObject => {}
+            // `find_unknown` reports the parent itself, once.
+            Lookup::NotAnObject => {}
         }
     }
     find_unknown(fields, document, "", &mut problems);
     if problems.is_empty() { Ok(checked) } else { Err(problems) }
 }
 
-/// What a kind takes, for people.
+/// Describes the valid values of a kind, for people.
 pub fn describe(kind: Kind) -> String {
     match kind {
         Kind::Name => format!("1 to {NAME_MAX_BYTES} of a-z, 0-9, '-', '_', '.'"),
@@ -122,47 +124,49 @@
     }
 }
 
-enum Found<'a> {
+/// Result of looking up a path in a document.
+enum Lookup<'a> {
     Value(&'a Value),
     Absent,
+    /// A parent of the field is present and is not an object.
     NotAnObject,
 }
 
-fn find<'a>(document: &'a Value, path: &str) -> Found<'a> {
+fn look_up<'a>(document: &'a Value, path: &str) -> Lookup<'a> {
     let mut value = document;
     for name in path.split('.') {
         let Some(object) = value.as_object() else {
-            return Found::NotAnObject;
+            return Lookup::NotAnObject;
         };
         let Some(next) = object.get(name) else {
-            return Found::Absent;
+            return Lookup::Absent;
         };
         value = next;
     }
-    Found::Value(value)
+    Lookup::Value(value)
 }
 
 fn insert(document: &mut Value, path: &str, value: Value) {
-    let mut at = document;
+    let mut parent = document;
     let mut names = path.split('.').peekable();
     while let Some(name) = names.next() {
-        let Some(object) = at.as_object_mut() else {
+        let Some(object) = parent.as_object_mut() else {
             return;
         };
         if names.peek().is_none() {
             object.insert(name.to_owned(), value);
             return;
         }
-        at = object.entry(name).or_insert_with(|| Value::Object(Map::new()));
+        parent = object.entry(name).or_insert_with(|| Value::Object(Map::new()));
     }
 }
 
-fn nullable(field: &Field) -> bool {
+fn is_nullable(field: &Field) -> bool {
     field.default == Some("null")
 }
 
-fn mistake(field: &Field, value: &Value) -> Option<Problem> {
-    let good = match field.kind {
+fn check_value(field: &Field, value: &Value) -> Option<Problem> {
+    let is_valid = match field.kind {
         Kind::Name => value.as_str().is_some_and(is_valid_name),
         Kind::Text(bytes_max) => value.as_str().is_some_and(|text| text.len() <= bytes_max),
         Kind::Address => value.as_str().is_some_and(|text| text.parse::<SocketAddr>().is_ok()),
@@ -174,7 +178,7 @@
         Kind::Hash => is_hash(value),
         Kind::Hashes => value.as_array().is_some_and(|hashes| hashes.iter().all(is_hash)),
     };
-    if good {
+    if is_valid {
         return None;
     }
     Some(problem(&format!("$.{}", field.path), value, describe(field.kind), field.doc))
@@ -187,7 +191,7 @@
     text.len() == 64 && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
 
-fn missing(field: &Field) -> Problem {
+fn missing_field(field: &Field) -> Problem {
     Problem {
         path: format!("$.{}", field.path),
         value: "(missing)".to_owned(),
@@ -196,7 +200,8 @@
     }
 }
 
-/// Walks what was given; a name that no field starts with is a mistake.
+/// Reports names in the document that no path in the table starts with, and values that
+/// should be objects.
 fn find_unknown(fields: &[Field], value: &Value, prefix: &str, problems: &mut Vec<Problem>) {
     let Some(object) = value.as_object() else {
         return;
@@ -206,9 +211,9 @@
         if fields.iter().any(|field| field.path == path) {
             continue;
         }
-        let inside = format!("{path}.");
-        if !fields.iter().any(|field| field.path.starts_with(&inside)) {
-            let hint = nearest(fields, &path);
+        let child_prefix = format!("{path}.");
+        if !fields.iter().any(|field| field.path.starts_with(&child_prefix)) {
+            let hint = suggest_field(fields, &path);
             problems.push(problem(&format!("$.{path}"), value, "a known field".to_owned(), &hint));
             continue;
         }
@@ -221,14 +226,14 @@
     }
 }
 
-/// A hint that names the known field with the most common letters at its start.
-fn nearest(fields: &[Field], path: &str) -> String {
-    let common = |field: &&Field| {
+/// Suggests the known field that has the longest prefix in common with `path`.
+fn suggest_field(fields: &[Field], path: &str) -> String {
+    let common_prefix_len = |field: &&Field| {
         let pairs = field.path.bytes().zip(path.bytes());
         pairs.take_while(|(a, b)| a == b).count()
     };
-    match fields.iter().max_by_key(common) {
-        Some(field) if common(&field) > 2 => format!("did you mean {}?", field.path),
+    match fields.iter().max_by_key(common_prefix_len) {
+        Some(field) if common_prefix_len(&field) > 2 => format!("did you mean {}?", field.path),
         _ => "remove it".to_owned(),
     }
 }
