--- a/crates/ledger/src/committer.rs
+++ b/crates/ledger/src/committer.rs
@@ -1,13 +1,13 @@
-//! Many small writes in few transactions.
+//! Group commit: combines many small writes into few transactions.
 //!
-//! The table takes several hundred writes a second for the whole cell, so each
-//! daemon has at most one transaction in flight, fills it with all that waits,
-//! and sends no more of them than its budget says. After an outage the same
-//! budget paces the catching up.
+//! The table handles several hundred writes per second for the whole cell. Each daemon
+//! therefore has at most one transaction in flight, fills it with the waiting writes,
+//! and limits the rate of transactions. After an outage, the same limit paces the
+//! backlog.
 //!
-//! An answer can be lost after the write took effect. The same transaction is
-//! then sent again: its checks fail if it had taken effect, and the rows that
-//! come back carry our write ids, which tells.
+//! A response can be lost after the write took effect. The same transaction is then
+//! sent again. If the first one had taken effect, the checks of the second one fail,
+//! and the write ids in the returned rows show that they were written by the first one.
 
 use std::collections::HashSet;
 use std::collections::VecDeque;
@@ -22,53 +22,54 @@
 use stoatwell_platform::StoreReply;
 use stoatwell_platform::Transaction;
 
-const BACKOFF_MS_MIN: u64 = 50;
-const BACKOFF_MS_MAX: u64 = 5_000;
-/// Failures in a row after which new work is refused rather than queued.
-const FAILURES_TO_REFUSE: u32 = 3;
+const BACKOFF_BASE_MS: u64 = 50;
+const BACKOFF_MAX_MS: u64 = 5_000;
+/// Number of consecutive failures after which new work is refused instead of queued.
+const FAILURES_BEFORE_REFUSAL: u32 = 3;
 
-/// One caller's rows.
+/// Rows that one caller wants written atomically.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
-    /// What must hold; the first check's row carries the write id.
+    /// Expected row versions. The row of the first check contains the write id.
     pub checks: Vec<Check>,
     /// Rows to write.
     pub puts: Vec<Put>,
-    /// Rows to remove.
+    /// Keys of the rows to remove.
     pub deletes: Vec<String>,
-    /// Names this write.
+    /// Unique identifier of this write, also contained in the written row.
     pub write_id: u64,
-    /// After this time it is taken back if it surely was not sent.
+    /// From this time on, the write is withdrawn if it certainly was not sent; `None`
+    /// means never.
     pub expires_ms: Option<UnixMs>,
 }
 
-/// What became of a write.
+/// Final result of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitResult {
-    /// It took effect; its rows have this version.
+    /// The write took effect.
     Written {
-        /// The version.
+        /// Version of the written rows.
         version: u64,
     },
-    /// It had no effect; this row is not as expected.
+    /// The write had no effect, because a row did not have the expected version.
     Conflict {
-        /// The row as it is.
+        /// Current state of that row.
         row: Row,
     },
-    /// It had no effect and never will.
+    /// The write was withdrawn before it was sent, so it had no effect and never will.
     NotWritten,
 }
 
-/// Writes of one daemon.
+/// Queue of the writes of one daemon.
 #[derive(Debug)]
 pub struct Committer {
-    rows_max: usize,
-    per_second: u64,
-    waiting: VecDeque<Pending>,
-    in_flight: Vec<Pending>,
-    failures: u32,
+    transaction_rows_max: usize,
+    transactions_per_second: u64,
+    waiting: VecDeque<PendingWrite>,
+    in_flight: Vec<PendingWrite>,
+    consecutive_failures: u32,
     not_before_ms: UnixMs,
-    allowance_milli: u64,
+    tokens_milli: u64,
     refilled_ms: UnixMs,
     stats: CommitStats,
 }
@@ -76,75 +77,80 @@
 /// Counters of the committer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct CommitStats {
-    /// Transactions sent.
+    /// Number of transactions sent.
     pub transactions: u64,
-    /// Writes that took effect.
+    /// Number of writes that took effect.
     pub written: u64,
-    /// Writes that met a conflict.
+    /// Number of writes that failed because of a conflict.
     pub conflicts: u64,
-    /// Transactions without an answer.
+    /// Number of transactions without a response.
     pub unanswered: u64,
-    /// Writes found to have taken effect though their answer was lost.
+    /// Number of writes that took effect although their response was lost.
     pub recovered: u64,
-    /// Writes taken back before they were sent.
+    /// Number of writes withdrawn before they were sent.
     pub not_written: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Pending {
+struct PendingWrite {
     ticket: u64,
     write: Write,
-    // Set once a transaction with it went without an answer.
+    // Set once a transaction that contained this write got no response.
     may_be_written: bool,
 }
 
 #[derive(Deserialize)]
-struct WriteIdOnly {
+struct WriteIdField {
     write_id: u64,
 }
 
 impl Committer {
-    /// Nothing to write yet.
-    pub fn new(rows_max: u64, per_second: u64) -> Self {
+    /// Creates an empty queue.
+    ///
+    /// `transaction_rows_max` limits the rows of a transaction, except that a single
+    /// write may exceed it.
+    pub fn new(transaction_rows_max: u64, transactions_per_second: u64) -> Self {
         Self {
-            rows_max: rows_max as usize,
-            per_second,
+            transaction_rows_max: transaction_rows_max as usize,
+            transactions_per_second,
             waiting: VecDeque::new(),
             in_flight: Vec::new(),
-            failures: 0,
+            consecutive_failures: 0,
             not_before_ms: 0,
-            allowance_milli: 1_000,
+            tokens_milli: 1_000,
             refilled_ms: 0,
             stats: CommitStats::default(),
         }
     }
 
-    /// Adds a write; its result comes under this ticket.
+    /// Adds a write to the queue; its result will be returned with `ticket`.
     pub fn submit(&mut self, ticket: u64, write: Write) {
-        self.waiting.push_back(Pending { ticket, write, may_be_written: false });
+        self.waiting.push_back(PendingWrite { ticket, write, may_be_written: false });
     }
 
-    /// Whether new work that needs the store should be refused at once.
+    /// Whether the store keeps failing, so that new work that needs it should be refused
+    /// immediately.
     pub fn is_failing(&self) -> bool {
-        self.failures >= FAILURES_TO_REFUSE
+        self.consecutive_failures >= FAILURES_BEFORE_REFUSAL
     }
 
-    /// Writes that are not finished.
+    /// Number of writes without a result.
     pub fn backlog(&self) -> usize {
         self.waiting.len() + self.in_flight.len()
     }
 
-    /// Counters so far.
+    /// Counters since the start of the daemon.
     pub fn stats(&self) -> CommitStats {
         self.stats
     }
 
-    /// Takes back what waited too long and was surely never sent.
+    /// Withdraws the writes that have expired and certainly were never sent.
     pub fn take_expired(&mut self, now_ms: UnixMs) -> Vec<(u64, CommitResult)> {
         let mut results = Vec::new();
         self.waiting.retain(|pending| {
-            let late = pending.write.expires_ms.is_some_and(|at_ms| at_ms <= now_ms);
-            if late && !pending.may_be_written {
+            let has_expired =
+                pending.write.expires_ms.is_some_and(|expires_ms| expires_ms <= now_ms);
+            if has_expired && !pending.may_be_written {
                 results.push((pending.ticket, CommitResult::NotWritten));
                 return false;
             }
@@ -154,27 +160,28 @@
         results
     }
 
-    /// The transaction that is due, if one is.
+    /// Returns the next transaction to send; `None` while one is in flight, nothing waits,
+    /// or the rate limit or the backoff delays it.
     pub fn due(&mut self, now_ms: UnixMs) -> Option<Transaction> {
-        self.refill(now_ms);
-        let waits = !self.in_flight.is_empty() || self.waiting.is_empty();
-        if waits || now_ms < self.not_before_ms || self.allowance_milli < 1_000 {
+        self.refill_tokens(now_ms);
+        let is_blocked = !self.in_flight.is_empty() || self.waiting.is_empty();
+        if is_blocked || now_ms < self.not_before_ms || self.tokens_milli < 1_000 {
             return None;
         }
-        self.allowance_milli -= 1_000;
+        self.tokens_milli -= 1_000;
         let mut transaction = Transaction::default();
-        let mut keys = HashSet::new();
+        let mut checked_keys = HashSet::new();
         let mut rows = 0;
         while let Some(pending) = self.waiting.front() {
             let write = &pending.write;
             rows += write.puts.len() + write.deletes.len();
-            let full = rows > self.rows_max && !self.in_flight.is_empty();
-            // Two writes of one row cannot check its version in one transaction.
-            let repeats = write.checks.iter().any(|check| keys.contains(&check.key));
-            if full || repeats {
+            let is_full = rows > self.transaction_rows_max && !self.in_flight.is_empty();
+            // One transaction cannot check the version of a row for two writes of that row.
+            let repeats_row = write.checks.iter().any(|check| checked_keys.contains(&check.key));
+            if is_full || repeats_row {
                 break;
             }
-            keys.extend(write.checks.iter().map(|check| check.key.clone()));
+            checked_keys.extend(write.checks.iter().map(|check| check.key.clone()));
             transaction.checks.extend(write.checks.iter().cloned());
             transaction.puts.extend(write.puts.iter().cloned());
             transaction.deletes.extend(write.deletes.iter().cloned());
@@ -184,7 +191,7 @@
         Some(transaction)
     }
 
-    /// Takes the answer to the transaction; gives the results by ticket.
+    /// Handles the response to the transaction in flight and returns results by ticket.
     pub fn on_reply(
         &mut self,
         now_ms: UnixMs,
@@ -193,21 +200,21 @@
         let batch = std::mem::take(&mut self.in_flight);
         match reply {
             Ok(StoreReply::Committed { version }) => {
-                self.recover();
+                self.reset_backoff();
                 self.stats.written += batch.len() as u64;
                 let result = CommitResult::Written { version: *version };
                 batch.into_iter().map(|pending| (pending.ticket, result.clone())).collect()
             }
             Ok(StoreReply::Conflict { rows }) => {
-                self.recover();
-                self.split(batch, rows)
+                self.reset_backoff();
+                self.resolve_conflict(batch, rows)
             }
             Ok(_) | Err(_) => {
                 let unanswered = !matches!(reply, Err(error) if error.is_without_effect());
                 self.stats.unanswered += u64::from(unanswered);
-                self.failures += 1;
-                let backoff_ms = BACKOFF_MS_MIN << self.failures.min(7);
-                self.not_before_ms = now_ms + backoff_ms.min(BACKOFF_MS_MAX);
+                self.consecutive_failures += 1;
+                let backoff_ms = BACKOFF_BASE_MS << self.consecutive_failures.min(7);
+                self.not_before_ms = now_ms + backoff_ms.min(BACKOFF_MAX_MS);
                 for mut pending in batch.into_iter().rev() {
                     pending.may_be_written |= unanswered;
                     self.waiting.push_front(pending);
@@ -217,15 +224,20 @@
         }
     }
 
-    /// The writes that met the conflict get their result, the others go again.
-    fn split(&mut self, batch: Vec<Pending>, rows: &[Row]) -> Vec<(u64, CommitResult)> {
+    /// Resolves the writes whose rows conflict, and queues the others again.
+    fn resolve_conflict(
+        &mut self,
+        batch: Vec<PendingWrite>,
+        rows: &[Row],
+    ) -> Vec<(u64, CommitResult)> {
         let mut results = Vec::new();
-        let mut again = Vec::new();
+        let mut resubmitted = Vec::new();
         for pending in batch {
-            let keys = &pending.write.checks;
-            let met = rows.iter().find(|row| keys.iter().any(|check| check.key == row.key));
-            let Some(row) = met else {
-                again.push(pending);
+            let checks = &pending.write.checks;
+            let conflicting_row =
+                rows.iter().find(|row| checks.iter().any(|check| check.key == row.key));
+            let Some(row) = conflicting_row else {
+                resubmitted.push(pending);
                 continue;
             };
             if pending.may_be_written && write_id(row) == Some(pending.write.write_id) {
@@ -237,26 +249,28 @@
             self.stats.conflicts += 1;
             results.push((pending.ticket, CommitResult::Conflict { row: row.clone() }));
         }
-        for pending in again.into_iter().rev() {
+        for pending in resubmitted.into_iter().rev() {
             self.waiting.push_front(pending);
         }
         results
     }
 
-    fn recover(&mut self) {
-        self.failures = 0;
+    fn reset_backoff(&mut self) {
+        self.consecutive_failures = 0;
         self.not_before_ms = 0;
     }
 
-    fn refill(&mut self, now_ms: UnixMs) {
-        let passed_ms = now_ms.saturating_sub(self.refilled_ms);
+    /// Refills the token bucket, which holds at most one second's worth of transactions.
+    fn refill_tokens(&mut self, now_ms: UnixMs) {
+        let elapsed_ms = now_ms.saturating_sub(self.refilled_ms);
         self.refilled_ms = now_ms;
-        let full_milli = self.per_second * 1_000;
-        self.allowance_milli = (self.allowance_milli + passed_ms * self.per_second).min(full_milli);
+        let tokens_max_milli = self.transactions_per_second * 1_000;
+        self.tokens_milli =
+            (self.tokens_milli + elapsed_ms * self.transactions_per_second).min(tokens_max_milli);
     }
 }
 
 fn write_id(row: &Row) -> Option<u64> {
-    let found: WriteIdOnly = serde_json::from_str(&row.value).ok()?;
+    let found: WriteIdField = serde_json::from_str(&row.value).ok()?;
     Some(found.write_id)
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,10 +1,10 @@
 //! Durable acceptance, intents and outcomes of jobs.
 //!
-//! [`machine`] is one job as the daemon that runs it sees it: which start may
-//! have been sent, which surely was not, and what outcome is truthful.
-//! [`committer`] writes many jobs' records in one transaction and tells lost
-//! answers apart from failed writes. [`rows`] says how records lie in the
-//! platform's table.
+//! [`machine`] is the state machine of one job at its coordinator. It knows which
+//! starts may have been sent, which were certainly not sent, and which outcome is
+//! correct. [`committer`] writes the records of many jobs in one transaction and
+//! distinguishes lost responses from failed writes. [`rows`] defines the layout of the
+//! records in the platform's table.
 
 pub mod committer;
 pub mod machine;
--- a/crates/ledger/src/machine/gang.rs
+++ b/crates/ledger/src/machine/gang.rs
@@ -1,4 +1,4 @@
-//! What follows when a task has to run again: alone, or with its whole gang.
+//! Retry of a task, alone or together with its whole gang.
 
 use stoatwell_model::AttemptId;
 use stoatwell_model::Class;
@@ -11,66 +11,74 @@
 use crate::machine::phase::first_attempt;
 
 impl JobMachine {
-    /// The attempt has surely ended and the task may run again.
-    pub(super) fn after_end(&mut self, now_ms: UnixMs, attempt: AttemptId) -> Vec<JobEffect> {
-        self.drop_intent(attempt);
+    /// Retries a task whose attempt has certainly ended.
+    pub(super) fn retry_after_end(&mut self, now_ms: UnixMs, attempt: AttemptId) -> Vec<JobEffect> {
+        self.remove_intent(attempt);
         if self.record.class != Class::Gang {
             return self.requeue(now_ms, attempt);
         }
-        self.advance(attempt);
+        self.advance_attempt(attempt);
         self.restart_gang(now_ms)
     }
 
+    /// Enqueues the next attempt of a task, or restarts its whole gang.
     pub(super) fn requeue(&mut self, now_ms: UnixMs, attempt: AttemptId) -> Vec<JobEffect> {
-        self.advance(attempt);
+        self.advance_attempt(attempt);
         if self.record.class == Class::Gang {
             return self.restart_gang(now_ms);
         }
         vec![JobEffect::Enqueue(vec![self.attempt(attempt.task as usize)])]
     }
 
-    /// The next start of this task is another attempt.
-    pub(super) fn advance(&mut self, attempt: AttemptId) {
+    /// Sets the task to waiting under the next attempt number.
+    pub(super) fn advance_attempt(&mut self, attempt: AttemptId) {
         let index = attempt.task as usize;
-        let first = first_attempt(self.record.epoch);
-        self.tasks[index].attempt = first.max(self.tasks[index].attempt + 1);
+        let epoch_start = first_attempt(self.record.epoch);
+        self.tasks[index].attempt = epoch_start.max(self.tasks[index].attempt + 1);
         self.tasks[index].phase = Phase::Waiting;
     }
 
-    /// A gang without one of its tasks is of no use: the others stop, and all
-    /// start again together once the last of them has surely ended.
+    /// Restarts a gang that lost a task.
+    ///
+    /// A gang cannot work without one of its tasks. The other tasks are stopped, and all
+    /// tasks start again together once the last of them has certainly ended.
     pub(super) fn restart_gang(&mut self, now_ms: UnixMs) -> Vec<JobEffect> {
-        let first = !self.restarting;
-        self.restarting = true;
-        let others: Vec<AttemptId> =
+        let stop_not_sent = !self.gang_restarting;
+        self.gang_restarting = true;
+        let active: Vec<AttemptId> =
             self.active().into_iter().map(|(attempt, _)| attempt).collect();
-        if !others.is_empty() {
-            return if first { vec![JobEffect::Stop(others)] } else { Vec::new() };
+        if !active.is_empty() {
+            return if stop_not_sent { vec![JobEffect::Stop(active)] } else { Vec::new() };
         }
-        if self.tasks.iter().any(|task| matches!(task.phase, Phase::InDoubt | Phase::Recording)) {
+        if self.tasks.iter().any(|task| matches!(task.phase, Phase::InDoubt | Phase::WritingIntent))
+        {
             return Vec::new();
         }
-        self.restarting = false;
-        let failed = self.tasks.iter().any(|task| matches!(task.phase, Phase::Over(_)));
+        self.gang_restarting = false;
+        let has_failed_task = self.tasks.iter().any(|task| matches!(task.phase, Phase::Failed(_)));
         for index in 0..self.tasks.len() {
             match self.tasks[index].phase {
-                Phase::Waiting if failed => self.tasks[index].phase = Phase::Over(Code::TaskFailed),
-                Phase::Done if !failed => {
-                    self.drop_intent(self.attempt(index));
-                    self.advance(self.attempt(index));
+                Phase::Waiting if has_failed_task => {
+                    self.tasks[index].phase = Phase::Failed(Code::TaskFailed)
+                }
+                Phase::Done if !has_failed_task => {
+                    self.remove_intent(self.attempt(index));
+                    self.advance_attempt(self.attempt(index));
                 }
                 _ => {}
             }
         }
-        if failed {
-            return self.settle(now_ms);
+        if has_failed_task {
+            return self.finish_if_complete(now_ms);
         }
         vec![JobEffect::Enqueue(self.waiting())]
     }
 
-    /// A cancellation or a gang's restart may have come while the start was on its way.
-    pub(super) fn after_cancel_stop(&self, attempt: AttemptId) -> Vec<JobEffect> {
-        if self.record.cancelled || self.restarting {
+    /// Stops a task that started while its job was cancelled or its gang restarted.
+    ///
+    /// The start was in flight at that time, so the task was not stopped then.
+    pub(super) fn stop_if_unwanted(&self, attempt: AttemptId) -> Vec<JobEffect> {
+        if self.record.cancelled || self.gang_restarting {
             return vec![JobEffect::Stop(vec![attempt])];
         }
         Vec::new()
--- a/crates/ledger/src/machine/mod.rs
+++ b/crates/ledger/src/machine/mod.rs
@@ -1,10 +1,10 @@
-//! One job as the daemon that runs it sees it.
+//! State machine of one job at its coordinator, the daemon that schedules it.
 //!
-//! A task waits, gets a worker, is perhaps recorded as an intent, is started,
-//! runs and ends. For work that must not run twice the intent is durable
-//! before the start is sent, and no second intent is made until the first is
-//! proved dead: by the worker saying that it ended, or that it never started
-//! and never will. "Not run" is only ever told with that proof.
+//! A task waits, is placed on a worker, has its intent recorded if necessary, starts,
+//! runs and ends. For work that must not run twice, the intent is durable before the
+//! start is sent, and no second intent is written until the worker proves that the
+//! first attempt is over: it ended, or it never started and never will. The outcome
+//! "not run" is only ever reported with that proof.
 
 mod gang;
 mod outcome;
@@ -32,30 +32,30 @@
 use crate::machine::phase::Phase;
 use crate::machine::phase::first_attempt;
 
-/// Lines kept of what happened to a job.
+/// Maximum number of notes to keep about the history of a job.
 const NOTES_MAX: usize = 12;
-/// Workers named to a caller.
+/// Maximum number of workers in the view of a job.
 const WORKERS_SHOWN: usize = 8;
 
-/// One job.
+/// State machine of one job.
 #[derive(Clone, Debug)]
 pub struct JobMachine {
-    /// What is kept of it.
+    /// Record to be stored, including changes that are not written yet.
     pub record: JobRecord,
-    /// Version of its row; 0 before the first write.
+    /// Version of the record's row; 0 before the first write.
     pub version: u64,
     attempts_max: u32,
     tasks: Vec<Task>,
-    writing: bool,
-    /// Whether the record changed since the write on its way was begun.
+    write_in_flight: bool,
+    /// Whether the record changed after the write in flight began.
     dirty: bool,
-    /// Whether the write on its way carries the outcome.
-    writing_outcome: bool,
-    restarting: bool,
+    /// Whether the write in flight contains the outcome.
+    outcome_in_flight: bool,
+    gang_restarting: bool,
     first_start_ms: Option<UnixMs>,
-    /// Whether the outcome is durable. Told before that, a "not run" could be
-    /// forgotten with this daemon, and the next one would run the job.
-    outcome_written: bool,
+    /// Whether the outcome is durable. Callers must not see it earlier: a "not run" could
+    /// be lost with this daemon, and the next coordinator would run the job.
+    outcome_durable: bool,
     former_zone: Option<ZoneName>,
     notes: VecDeque<String>,
 }
@@ -68,34 +68,37 @@
     worker: Option<WorkerId>,
 }
 
-/// What has to be done next.
+/// Action that the owner of the [`JobMachine`] must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobEffect {
-    /// Let these wait for a worker.
+    /// Put these attempts into the scheduler's queue.
     Enqueue(Vec<AttemptId>),
-    /// Send these starts.
+    /// Send the starts of these attempts.
     Start(Vec<AttemptId>),
-    /// Stop these.
+    /// Stop these attempts on their workers.
     Stop(Vec<AttemptId>),
-    /// Take these out of the queue.
+    /// Remove the job from the scheduler's queue.
     Dequeue,
-    /// The record changed and has to be written.
+    /// Write the changed record.
     Write,
-    /// The outcome is final.
+    /// The outcome is final and durable.
     Finished,
 }
 
-/// What became of a start that was sent.
+/// Response of a worker to a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartResult {
-    /// The worker runs it.
+    /// The worker runs the task.
     Started,
-    /// The worker refused it and always will.
+    /// The worker refused the attempt and always will.
     Refused,
 }
 
 impl JobMachine {
-    /// A job that was just accepted, or that is taken over from its record.
+    /// Creates the state machine of a newly accepted job, or of one that is taken over.
+    ///
+    /// Tasks with an intent in the record are in doubt until their worker is queried.
+    /// At-most-once work gets one attempt, whatever `attempts_max` is.
     pub fn new(record: JobRecord, version: u64, attempts_max: u32) -> Self {
         let mut tasks = Vec::new();
         let attempt = first_attempt(record.epoch);
@@ -109,40 +112,40 @@
                 task.worker = Some(intent.worker.clone());
             }
         }
-        let once = record.execution == Execution::AtMostOnce;
+        let at_most_once = record.execution == Execution::AtMostOnce;
         let record_is_final = record.outcome.is_some();
         Self {
             record,
             version,
-            outcome_written: record_is_final,
+            outcome_durable: record_is_final,
             former_zone: None,
-            attempts_max: if once { 1 } else { attempts_max },
+            attempts_max: if at_most_once { 1 } else { attempts_max },
             tasks,
-            writing: false,
+            write_in_flight: false,
             dirty: false,
-            writing_outcome: false,
-            restarting: false,
+            outcome_in_flight: false,
+            gang_restarting: false,
             first_start_ms: None,
             notes: VecDeque::new(),
         }
     }
 
-    /// Attempts that wait for a worker.
+    /// Attempts that wait to be placed on a worker.
     pub fn waiting(&self) -> Vec<AttemptId> {
-        self.in_phase(Phase::Waiting)
+        self.attempts_in_phase(Phase::Waiting)
     }
 
-    /// Attempts whose worker has to be asked, with that worker.
+    /// Attempts whose worker must be queried, with that worker.
     pub fn in_doubt(&self) -> Vec<(AttemptId, WorkerId)> {
         let mut found = Vec::new();
-        for attempt in self.in_phase(Phase::InDoubt) {
+        for attempt in self.attempts_in_phase(Phase::InDoubt) {
             let worker = self.tasks[attempt.task as usize].worker.clone();
             found.extend(worker.map(|worker| (attempt, worker)));
         }
         found
     }
 
-    /// Attempts that may run now, with their workers.
+    /// Attempts that may be running, with their workers.
     pub fn active(&self) -> Vec<(AttemptId, WorkerId)> {
         let mut found = Vec::new();
         for (index, task) in self.tasks.iter().enumerate() {
@@ -155,34 +158,35 @@
         found
     }
 
-    /// The worker of this attempt, if it is its task's present one.
+    /// Worker of the attempt; `None` if the attempt is not current or has no worker.
     pub fn worker_of(&self, attempt: AttemptId) -> Option<WorkerId> {
         let task = self.tasks.get(attempt.task as usize)?;
         if task.attempt == attempt.attempt { task.worker.clone() } else { None }
     }
 
-    /// Whether this attempt is its task's present one.
+    /// Whether the attempt is the current one of its task.
     pub fn is_current(&self, attempt: AttemptId) -> bool {
         let task = self.tasks.get(attempt.task as usize);
         task.is_some_and(|task| task.attempt == attempt.attempt)
     }
 
-    /// Whether this attempt waits for a worker.
+    /// Whether the attempt waits to be placed on a worker.
     pub fn is_waiting(&self, attempt: AttemptId) -> bool {
         let task = self.tasks.get(attempt.task as usize);
         task.is_some_and(|task| task.attempt == attempt.attempt && task.phase == Phase::Waiting)
     }
 
-    /// Whether this attempt has its worker and its start is yet to be answered.
+    /// Whether the attempt has been placed and the worker has not responded to its start.
     pub fn is_about_to_start(&self, attempt: AttemptId) -> bool {
         let task = self.tasks.get(attempt.task as usize);
         task.is_some_and(|task| {
-            let phase = matches!(task.phase, Phase::Intended | Phase::Recording | Phase::Starting);
-            task.attempt == attempt.attempt && phase
+            let is_unanswered =
+                matches!(task.phase, Phase::IntentPending | Phase::WritingIntent | Phase::Starting);
+            task.attempt == attempt.attempt && is_unanswered
         })
     }
 
-    /// The last attempt of each task that had a worker, with that worker.
+    /// Current attempt of each task that was placed, with the last worker of the task.
     pub fn attempts_with_workers(&self) -> BTreeMap<AttemptId, WorkerId> {
         let mut found = BTreeMap::new();
         for (index, task) in self.tasks.iter().enumerate() {
@@ -193,8 +197,10 @@
         found
     }
 
-    /// A task of a job that was taken over was found on a worker, though no
-    /// intent told of it: work that may be repeated goes on there.
+    /// Handles a report about a task of a taken-over job that has no intent.
+    ///
+    /// Idempotent work starts without an intent. It continues on the worker on which it
+    /// was found.
     pub fn on_discovered(
         &mut self,
         now_ms: UnixMs,
@@ -213,8 +219,9 @@
         self.on_report(now_ms, attempt, state)
     }
 
-    /// Tasks got workers. Work that may be repeated starts at once; for other
-    /// work the intents are written first.
+    /// Handles the placement of tasks on workers.
+    ///
+    /// Idempotent work starts immediately. For other work, the intents are written first.
     pub fn on_placed(
         &mut self,
         now_ms: UnixMs,
@@ -223,7 +230,7 @@
         let mut starts = Vec::new();
         for (attempt, worker, token) in placed {
             let needs_intent = self.record.execution.needs_intent();
-            let Some(task) = self.task_mut(*attempt) else {
+            let Some(task) = self.current_task_mut(*attempt) else {
                 continue;
             };
             if task.phase != Phase::Waiting {
@@ -231,54 +238,54 @@
             }
             task.worker = Some(worker.clone());
             if needs_intent {
-                task.phase = Phase::Intended;
-                self.put_intent(*attempt, worker, *token, None);
+                task.phase = Phase::IntentPending;
+                self.record_intent(*attempt, worker, *token, None);
             } else {
                 task.phase = Phase::Starting;
                 starts.push(*attempt);
             }
         }
         if starts.is_empty() {
-            return self.write();
+            return self.request_write();
         }
         self.first_start_ms.get_or_insert(now_ms);
         vec![JobEffect::Start(starts)]
     }
 
-    /// A request got a minion; its intent is written first.
+    /// Handles the assignment of a request to a minion; the intent is written first.
     pub fn on_routed(&mut self, worker: &WorkerId, token: Token, minion: &str) -> Vec<JobEffect> {
         let attempt = self.attempt(0);
         if self.tasks[0].phase != Phase::Waiting {
             return Vec::new();
         }
         self.tasks[0].worker = Some(worker.clone());
-        self.tasks[0].phase = Phase::Intended;
-        self.put_intent(attempt, worker, token, Some(minion.to_owned()));
-        self.write()
+        self.tasks[0].phase = Phase::IntentPending;
+        self.record_intent(attempt, worker, token, Some(minion.to_owned()));
+        self.request_write()
     }
 
-    /// Begins a write; the record with its new write id is to be sent.
+    /// Begins a write and returns the record to be written, with its new write id.
     pub fn begin_write(&mut self, write_id: u64) -> &JobRecord {
-        self.writing = true;
+        self.write_in_flight = true;
         self.dirty = false;
-        self.writing_outcome = self.record.outcome.is_some();
+        self.outcome_in_flight = self.record.outcome.is_some();
         self.record.write_id = write_id;
         for task in &mut self.tasks {
-            if task.phase == Phase::Intended {
-                task.phase = Phase::Recording;
+            if task.phase == Phase::IntentPending {
+                task.phase = Phase::WritingIntent;
             }
         }
         &self.record
     }
 
-    /// The write took effect: recorded intents may be started.
+    /// Handles a write that took effect; attempts whose intents it contained may start.
     pub fn on_written(&mut self, now_ms: UnixMs, version: u64) -> Vec<JobEffect> {
         self.version = version;
-        self.writing = false;
+        self.write_in_flight = false;
         self.former_zone = None;
         let mut effects = Vec::new();
-        if self.writing_outcome {
-            self.outcome_written = true;
+        if self.outcome_in_flight {
+            self.outcome_durable = true;
             effects.push(JobEffect::Finished);
             return effects;
         }
@@ -286,15 +293,15 @@
             effects.push(JobEffect::Write);
             return effects;
         }
-        let recorded = self.in_phase(Phase::Recording);
+        let recorded = self.attempts_in_phase(Phase::WritingIntent);
         if self.record.cancelled && !recorded.is_empty() {
-            // The start was never sent, so it can still be told as not run.
+            // The starts were never sent, so "not run" is still a correct outcome.
             for attempt in recorded {
                 self.tasks[attempt.task as usize].phase =
-                    Phase::Dropped(Code::CancelledBeforeStart);
-                self.drop_intent(attempt);
+                    Phase::NeverStarted(Code::CancelledBeforeStart);
+                self.remove_intent(attempt);
             }
-            return self.settle_or_write(now_ms);
+            return self.finish_or_write(now_ms);
         }
         if !recorded.is_empty() {
             for attempt in &recorded {
@@ -309,19 +316,22 @@
         effects
     }
 
-    /// The write surely had no effect and the record is as before.
+    /// Handles a write that certainly had no effect.
+    ///
+    /// The intents that it contained are removed from the record, and their tasks wait
+    /// again.
     pub fn on_not_written(&mut self) -> Vec<JobEffect> {
-        self.writing = false;
-        let mut back = Vec::new();
-        for attempt in self.in_phase(Phase::Recording) {
+        self.write_in_flight = false;
+        let mut unsent = Vec::new();
+        for attempt in self.attempts_in_phase(Phase::WritingIntent) {
             self.tasks[attempt.task as usize].phase = Phase::Waiting;
             self.record.intents.retain(|intent| intent.task != attempt.task);
-            back.push(attempt);
+            unsent.push(attempt);
         }
-        if back.is_empty() { Vec::new() } else { vec![JobEffect::Enqueue(back)] }
+        if unsent.is_empty() { Vec::new() } else { vec![JobEffect::Enqueue(unsent)] }
     }
 
-    /// A worker answered a start.
+    /// Handles the response of a worker to a start.
     pub fn on_start(
         &mut self,
         now_ms: UnixMs,
@@ -330,26 +340,26 @@
     ) -> Vec<JobEffect> {
         match result {
             StartResult::Started => {
-                if let Some(task) = self.task_mut(attempt)
+                if let Some(task) = self.current_task_mut(attempt)
                     && matches!(task.phase, Phase::Starting | Phase::InDoubt)
                 {
                     task.phase = Phase::Running;
                     self.record.started = true;
                 }
-                self.after_cancel_stop(attempt)
+                self.stop_if_unwanted(attempt)
             }
             StartResult::Refused => self.on_never_started(now_ms, attempt),
         }
     }
 
-    /// The worker told how a task is.
+    /// Handles a worker's report about the state of a task.
     pub fn on_report(
         &mut self,
         now_ms: UnixMs,
         attempt: AttemptId,
         state: &TaskState,
     ) -> Vec<JobEffect> {
-        let Some(task) = self.task_mut(attempt) else {
+        let Some(task) = self.current_task_mut(attempt) else {
             return Vec::new();
         };
         if !task.phase.may_run() && task.phase != Phase::InDoubt {
@@ -359,7 +369,7 @@
         match state {
             TaskState::Running => {
                 self.tasks[attempt.task as usize].phase = Phase::Running;
-                self.after_cancel_stop(attempt)
+                self.stop_if_unwanted(attempt)
             }
             TaskState::Done { answer } => self.on_done(now_ms, attempt, answer),
             TaskState::Failed { reason } => self.on_failed(now_ms, attempt, reason),
@@ -367,42 +377,43 @@
         }
     }
 
-    /// The worker proved that this attempt never started and never will.
+    /// Handles the proof by the worker that the attempt never started and never will.
     pub fn on_never_started(&mut self, now_ms: UnixMs, attempt: AttemptId) -> Vec<JobEffect> {
-        let Some(task) = self.task_mut(attempt) else {
+        let Some(task) = self.current_task_mut(attempt) else {
             return Vec::new();
         };
         if !task.phase.may_run() && task.phase != Phase::InDoubt {
             return Vec::new();
         }
         if self.record.cancelled {
-            self.tasks[attempt.task as usize].phase = Phase::Dropped(Code::CancelledBeforeStart);
-            self.drop_intent(attempt);
-            return self.settle(now_ms);
+            self.tasks[attempt.task as usize].phase =
+                Phase::NeverStarted(Code::CancelledBeforeStart);
+            self.remove_intent(attempt);
+            return self.finish_if_complete(now_ms);
         }
-        self.drop_intent(attempt);
+        self.remove_intent(attempt);
         self.requeue(now_ms, attempt)
     }
 
-    /// The worker is gone for good; nothing can tell whether this attempt ran.
+    /// Handles the permanent loss of the worker; whether the attempt ran is not known.
     pub fn on_worker_lost(&mut self, now_ms: UnixMs, attempt: AttemptId) -> Vec<JobEffect> {
-        let Some(task) = self.task_mut(attempt) else {
+        let Some(task) = self.current_task_mut(attempt) else {
             return Vec::new();
         };
         if !task.phase.may_run() && task.phase != Phase::InDoubt {
             return Vec::new();
         }
         match self.record.execution {
-            // A worker that is gone runs nothing any more, so both may run again.
+            // A lost worker runs nothing any more, so both may run again.
             Execution::Idempotent | Execution::Exclusive => self.on_stopped(now_ms, attempt),
             Execution::AtMostOnce => {
                 self.tasks[attempt.task as usize].phase = Phase::Lost;
-                self.settle(now_ms)
+                self.finish_if_complete(now_ms)
             }
         }
     }
 
-    /// The caller wants it no more.
+    /// Cancels the job at the request of its owner.
     pub fn cancel(&mut self, now_ms: UnixMs) -> Vec<JobEffect> {
         if self.record.cancelled || self.record.outcome.is_some() {
             return Vec::new();
@@ -411,9 +422,9 @@
         self.note("cancelled by its owner".to_owned());
         let mut effects = vec![JobEffect::Dequeue];
         for index in 0..self.tasks.len() {
-            if matches!(self.tasks[index].phase, Phase::Waiting | Phase::Intended) {
-                self.tasks[index].phase = Phase::Dropped(Code::CancelledBeforeStart);
-                self.drop_intent(self.attempt(index));
+            if matches!(self.tasks[index].phase, Phase::Waiting | Phase::IntentPending) {
+                self.tasks[index].phase = Phase::NeverStarted(Code::CancelledBeforeStart);
+                self.remove_intent(self.attempt(index));
             }
         }
         let active: Vec<AttemptId> =
@@ -421,16 +432,16 @@
         if !active.is_empty() {
             effects.push(JobEffect::Stop(active));
         }
-        effects.extend(self.settle_or_write(now_ms));
+        effects.extend(self.finish_or_write(now_ms));
         effects
     }
 
-    /// The deadline passed while these waited.
+    /// Drops waiting attempts because the deadline passed.
     pub fn expire(&mut self, now_ms: UnixMs, attempts: &[AttemptId]) -> Vec<JobEffect> {
         self.drop_waiting(now_ms, attempts, Code::DeadlinePassed)
     }
 
-    /// These will never be started, for this reason.
+    /// Drops waiting attempts for the reason `code`; they will never start.
     pub fn drop_waiting(
         &mut self,
         now_ms: UnixMs,
@@ -438,16 +449,16 @@
         code: Code,
     ) -> Vec<JobEffect> {
         for attempt in attempts {
-            if let Some(task) = self.task_mut(*attempt)
+            if let Some(task) = self.current_task_mut(*attempt)
                 && task.phase == Phase::Waiting
             {
-                task.phase = Phase::Dropped(code);
+                task.phase = Phase::NeverStarted(code);
             }
         }
-        self.settle(now_ms)
+        self.finish_if_complete(now_ms)
     }
 
-    /// Another daemon runs it from now on, perhaps in another zone.
+    /// Assigns the job to another coordinator, possibly in another zone.
     pub fn reassign(&mut self, coordinator: &DaemonId, zone: &ZoneName) {
         if self.record.zone != *zone {
             self.former_zone = Some(std::mem::replace(&mut self.record.zone, zone.clone()));
@@ -462,12 +473,12 @@
         }
     }
 
-    /// The zone whose open row has to go with the next write.
+    /// Zone whose open row the next write must remove; `None` if the job did not move.
     pub fn former_zone(&self) -> Option<&ZoneName> {
         self.former_zone.as_ref()
     }
 
-    /// How many tasks are in each phase, for people.
+    /// Number of tasks in each phase, for people.
     pub fn phases(&self) -> BTreeMap<&'static str, usize> {
         let mut phases = BTreeMap::new();
         for task in &self.tasks {
@@ -476,17 +487,17 @@
         phases
     }
 
-    /// Whether a write is on its way.
+    /// Whether a write of the record is in flight.
     pub fn is_writing(&self) -> bool {
-        self.writing
+        self.write_in_flight
     }
 
-    /// Whether any start may be on its way or any task running.
+    /// Whether any start is about to be sent or in flight, or any task may be running.
     pub fn is_active(&self) -> bool {
-        self.tasks.iter().any(|task| task.phase.may_run() || task.phase == Phase::Recording)
+        self.tasks.iter().any(|task| task.phase.may_run() || task.phase == Phase::WritingIntent)
     }
 
-    /// Remembers a line for `explain`.
+    /// Adds a line to the history that `explain` shows; the oldest line may be dropped.
     pub fn note(&mut self, line: String) {
         if self.notes.len() == NOTES_MAX {
             self.notes.pop_front();
@@ -494,21 +505,21 @@
         self.notes.push_back(line);
     }
 
-    /// Where it stands.
+    /// State of the job as callers see it; an outcome counts once it is durable.
     pub fn state(&self) -> JobState {
-        if let Some(outcome) = self.outcome_if_written() {
+        if let Some(outcome) = self.durable_outcome() {
             return outcome.state();
         }
-        let runs =
+        let has_running_task =
             self.tasks.iter().any(|task| task.phase.may_run() || task.phase == Phase::InDoubt);
-        if runs || self.tasks.iter().any(|task| task.phase == Phase::Done) {
+        if has_running_task || self.tasks.iter().any(|task| task.phase == Phase::Done) {
             return JobState::Running;
         }
         JobState::Queued
     }
 
-    /// What a caller is told; `waits` are the reasons why it waits.
-    pub fn view(&self, waits: Vec<String>) -> JobView {
+    /// Returns the view for callers; `pending_reasons` explain why the job waits.
+    pub fn view(&self, pending_reasons: Vec<String>) -> JobView {
         let mut workers = Vec::new();
         let mut running = 0;
         let mut done = 0;
@@ -523,7 +534,7 @@
             }
         }
         let mut reasons: Vec<String> = self.notes.iter().cloned().collect();
-        reasons.extend(waits);
+        reasons.extend(pending_reasons);
         JobView {
             job: self.record.job,
             owner: self.record.owner.clone(),
@@ -540,7 +551,7 @@
             waited_ms: self
                 .first_start_ms
                 .map(|start_ms| start_ms.saturating_sub(self.record.accepted_ms)),
-            outcome: self.outcome_if_written().cloned(),
+            outcome: self.durable_outcome().cloned(),
             reasons,
         }
     }
@@ -549,58 +560,60 @@
         let index = attempt.task as usize;
         if self.record.class == Class::Service && !self.record.cancelled {
             self.note(format!("task {} ended by itself and is replaced", attempt.task));
-            return self.after_end(now_ms, attempt);
+            return self.retry_after_end(now_ms, attempt);
         }
         self.tasks[index].phase = Phase::Done;
-        if self.restarting {
+        if self.gang_restarting {
             return self.restart_gang(now_ms);
         }
         if self.record.tasks == 1 {
             self.record.outcome = Some(Outcome::Done { answer: answer.to_owned() });
             self.record.finished_ms = now_ms;
-            return self.write();
+            return self.request_write();
         }
-        self.settle(now_ms)
+        self.finish_if_complete(now_ms)
     }
 
     fn on_failed(&mut self, now_ms: UnixMs, attempt: AttemptId, reason: &str) -> Vec<JobEffect> {
         let index = attempt.task as usize;
         self.note(format!("try {} of task {} failed: {reason}", attempt.attempt, attempt.task));
         self.tasks[index].failures += 1;
-        let service = self.record.class == Class::Service;
-        if self.record.cancelled || (!service && self.tasks[index].failures >= self.attempts_max) {
-            self.tasks[index].phase = Phase::Over(Code::TaskFailed);
+        let is_service = self.record.class == Class::Service;
+        if self.record.cancelled || (!is_service && self.tasks[index].failures >= self.attempts_max)
+        {
+            self.tasks[index].phase = Phase::Failed(Code::TaskFailed);
             if self.record.class == Class::Gang && !self.record.cancelled {
                 return self.restart_gang(now_ms);
             }
-            return self.settle(now_ms);
+            return self.finish_if_complete(now_ms);
         }
-        self.after_end(now_ms, attempt)
+        self.retry_after_end(now_ms, attempt)
     }
 
     fn on_stopped(&mut self, now_ms: UnixMs, attempt: AttemptId) -> Vec<JobEffect> {
         let index = attempt.task as usize;
         if self.record.cancelled {
-            self.tasks[index].phase = Phase::Over(Code::CancelledAfterStart);
-            return self.settle(now_ms);
+            self.tasks[index].phase = Phase::Failed(Code::CancelledAfterStart);
+            return self.finish_if_complete(now_ms);
         }
         if self.record.execution == Execution::AtMostOnce {
-            self.tasks[index].phase = Phase::Over(Code::StoppedOverLimit);
-            return self.settle(now_ms);
+            self.tasks[index].phase = Phase::Failed(Code::StoppedOverLimit);
+            return self.finish_if_complete(now_ms);
         }
         self.note(format!("try {} of task {} was stopped", attempt.attempt, attempt.task));
-        self.after_end(now_ms, attempt)
+        self.retry_after_end(now_ms, attempt)
     }
 
-    fn write(&mut self) -> Vec<JobEffect> {
-        if self.writing {
+    /// Requests a write, or marks the record as dirty while another write is in flight.
+    fn request_write(&mut self) -> Vec<JobEffect> {
+        if self.write_in_flight {
             self.dirty = true;
             return Vec::new();
         }
         vec![JobEffect::Write]
     }
 
-    fn put_intent(
+    fn record_intent(
         &mut self,
         attempt: AttemptId,
         worker: &WorkerId,
@@ -617,11 +630,11 @@
         });
     }
 
-    fn drop_intent(&mut self, attempt: AttemptId) {
+    fn remove_intent(&mut self, attempt: AttemptId) {
         self.record.intents.retain(|intent| intent.task != attempt.task);
     }
 
-    fn in_phase(&self, phase: Phase) -> Vec<AttemptId> {
+    fn attempts_in_phase(&self, phase: Phase) -> Vec<AttemptId> {
         let mut found = Vec::new();
         for (index, task) in self.tasks.iter().enumerate() {
             if task.phase == phase {
@@ -635,8 +648,8 @@
         AttemptId { job: self.record.job, task: index as u32, attempt: self.tasks[index].attempt }
     }
 
-    /// The task, if this attempt is its present one.
-    fn task_mut(&mut self, attempt: AttemptId) -> Option<&mut Task> {
+    /// The task of the attempt, if the attempt is its current one.
+    fn current_task_mut(&mut self, attempt: AttemptId) -> Option<&mut Task> {
         let task = self.tasks.get_mut(attempt.task as usize)?;
         (task.attempt == attempt.attempt).then_some(task)
     }
--- a/crates/ledger/src/machine/phase.rs
+++ b/crates/ledger/src/machine/phase.rs
@@ -1,63 +1,68 @@
-//! How far a task is.
+//! Phases of a task.
 
 use stoatwell_model::Code;
 
-/// Attempts under one epoch have these many low bits for themselves.
-const EPOCH_SHIFT: u32 = 12;
+/// Number of low bits of an attempt number that count attempts within one epoch.
+const ATTEMPT_BITS: u32 = 12;
 
-/// How far a task is.
+/// Progress of the current attempt of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// No start of this attempt was ever sent.
+    /// No start of this attempt was sent.
     Waiting,
-    /// The intent is to be written.
-    Intended,
-    /// The intent is being written.
-    Recording,
-    /// A start was sent or may have been.
+    /// The intent is in the record and its write has not begun.
+    IntentPending,
+    /// The write of the intent is in flight.
+    WritingIntent,
+    /// A start was sent or may have been sent.
     Starting,
-    /// The worker said that it runs.
+    /// The worker reported that the task runs.
     Running,
-    /// Taken over from another daemon; the worker has to be asked.
+    /// The job was taken over from another daemon, and the worker must be queried.
     InDoubt,
-    /// Ended well.
+    /// The task succeeded.
     Done,
-    /// Ended for good without success.
-    Over(Code),
-    /// Will never start.
-    Dropped(Code),
-    /// The worker is gone for good; nothing can tell whether it ran.
+    /// The task ended without success and is not retried.
+    Failed(Code),
+    /// The task was not started and never will be.
+    NeverStarted(Code),
+    /// The worker is permanently lost, and there is no way to find out whether the task ran.
     Lost,
 }
 
-/// The first attempt under an epoch. Two daemons that ran a job one after the
-/// other must not give the same id to starts on different workers, for what
-/// one worker reports would be taken for the other's.
+/// Number of the first attempt within an epoch.
+///
+/// Each epoch has its own range of numbers. If two successive coordinators used the
+/// same id for starts on different workers, a report of one worker would be taken for
+/// a report of the other.
 pub(super) fn first_attempt(epoch: u64) -> u32 {
-    ((epoch.saturating_sub(1) as u32) << EPOCH_SHIFT) + 1
+    ((epoch.saturating_sub(1) as u32) << ATTEMPT_BITS) + 1
 }
 
 impl Phase {
+    /// Whether a start may have been sent and the end of the task is not known.
     pub(super) fn may_run(self) -> bool {
         matches!(self, Self::Starting | Self::Running)
     }
 
+    /// Name of the phase in dumps, for people.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::Waiting => "waiting",
-            Self::Intended => "intent to be written",
-            Self::Recording => "intent being written",
+            Self::IntentPending => "intent to be written",
+            Self::WritingIntent => "intent being written",
             Self::Starting => "starting",
             Self::Running => "running",
             Self::InDoubt => "in doubt",
             Self::Done => "done",
-            Self::Over(_) => "failed",
-            Self::Dropped(_) => "never to start",
+            Self::Failed(_) => "failed",
+            Self::NeverStarted(_) => "never to start",
             Self::Lost => "lost",
         }
     }
 
-    pub(super) fn is_settled(self) -> bool {
-        matches!(self, Self::Done | Self::Over(_) | Self::Dropped(_) | Self::Lost)
+    /// Whether the task has a result that counts towards the outcome of the job.
+    pub(super) fn is_final(self) -> bool {
+        matches!(self, Self::Done | Self::Failed(_) | Self::NeverStarted(_) | Self::Lost)
     }
 }
--- a/crates/ledger/src/rows.rs
+++ b/crates/ledger/src/rows.rs
@@ -1,9 +1,9 @@
-//! How jobs lie in the platform's table.
+//! Layout of jobs in the platform's table.
 //!
-//! `job/ID` is the record. `open/ZONE/ID` names the daemon that runs a job
-//! until its outcome is final, so that jobs of a dead daemon are found without
-//! reading all records. `done/HOUR/ID` names finished jobs by the hour in
-//! which they may be removed.
+//! `job/ID` contains the record. `open/ZONE/ID` names the coordinator of a job until
+//! the outcome is final, so that the jobs of a dead daemon are found without a scan of
+//! all records. `done/HOUR/ID` lists finished jobs by the hour in which they finished,
+//! so that expired records are found in order.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -17,54 +17,56 @@
 
 use crate::committer::Write;
 
-/// Start of the keys of open jobs.
+/// Prefix of the keys of open jobs.
 pub const OPEN: &str = "open/";
-/// Start of the keys of finished jobs.
+/// Prefix of the keys of finished jobs.
 pub const DONE: &str = "done/";
 
 const HOUR_MS: u64 = 60 * 60 * 1_000;
 
-/// What an open row holds.
+/// Value of the row of an open job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenRow {
-    /// The job.
+    /// Identifier of the job.
     pub job: JobId,
-    /// The daemon that runs it.
+    /// Daemon that schedules it.
     pub coordinator: DaemonId,
 }
 
-/// The row of a job's record.
+/// Key of a job's record.
 pub fn job_key(job: JobId) -> String {
     format!("job/{job}")
 }
 
-/// The row that marks a job as open.
+/// Key of the row that marks a job as open.
 pub fn open_key(zone: &ZoneName, job: JobId) -> String {
     format!("{OPEN}{zone}/{job}")
 }
 
-/// Start of the open rows of one zone.
+/// Prefix of the keys of open jobs in one zone.
 pub fn open_prefix(zone: &ZoneName) -> String {
     format!("{OPEN}{zone}/")
 }
 
-/// The row that marks a job as finished.
+/// Key of the row that marks a job as finished.
 pub fn done_key(finished_ms: UnixMs, job: JobId) -> String {
     format!("{DONE}{:012}/{job}", finished_ms / HOUR_MS)
 }
 
-/// The first key of jobs that finished at or after this time.
+/// First key of the jobs that finished in the hour of `finished_ms` or later.
 pub fn first_done_key(finished_ms: UnixMs) -> String {
     format!("{DONE}{:012}/", finished_ms / HOUR_MS)
 }
 
-/// The job that a row of finished jobs names.
+/// Job that the key of a finished job names; `None` if the key is malformed.
 pub fn job_of_done_key(key: &str) -> Option<JobId> {
     key.rsplit('/').next()?.parse().ok()
 }
 
-/// The write that brings the table up to this record, from the version that
-/// was read; `former_zone` is where its open row was, if it moves.
+/// Creates the write that updates a job's rows to `record`.
+///
+/// `version` is the version of the record's row that was read. `former_zone` is the
+/// zone whose open row is to be removed, if the job moved to another zone.
 pub fn record_write(record: &JobRecord, version: u64, former_zone: Option<&ZoneName>) -> Write {
     let key = job_key(record.job);
     let value = serde_json::to_string(record).unwrap_or_default();
