--- a/crates/membership/src/lease.rs
+++ b/crates/membership/src/lease.rs
@@ -1,10 +1,10 @@
 //! One daemon's side of the leases on workers.
 //!
-//! The worker grants a lease under a rising token and refuses every call with
-//! an older one. This side only counts on a lease while its own clock, read
-//! when the call was sent, says that it runs; a daemon that was paused finds
-//! its leases run out and asks again before it acts. Should its clock be
-//! wrong, the worker's fence still refuses it.
+//! A worker grants a lease with an increasing fencing token and refuses every call with
+//! an older token. The daemon relies on a lease only until it expires by the daemon's own
+//! clock, counted from the time at which the call was sent. A daemon that was paused
+//! finds its leases expired and acquires them again before it acts. If its clock is
+//! wrong, the worker still refuses it because of the token.
 
 use std::collections::BTreeMap;
 
@@ -17,125 +17,135 @@
 
 use crate::rendezvous;
 
-/// Before another try at a worker that could not be reached.
+/// Delay before the next call to a worker that did not respond or after a release, and
+/// the maximum delay after a refusal.
 const RETRY_MS: u64 = 500;
 
-/// The leases of one daemon.
+/// Leases of one daemon on the workers of its zone.
 #[derive(Debug)]
 pub struct LeaseTable {
-    me: DaemonId,
+    local_daemon: DaemonId,
     ttl_ms: u64,
-    wait_ms: u64,
-    moves_per_second: u64,
+    renew_wait_ms: u64,
+    handovers_per_second: u64,
     workers: BTreeMap<WorkerId, WorkerLease>,
-    moves_left: u64,
-    moves_since_ms: UnixMs,
+    handovers_left: u64,
+    handover_window_ms: UnixMs,
 }
 
-/// One worker as seen from here.
+/// A worker and the daemon's lease on it, if it has one.
 #[derive(Clone, Debug, Serialize)]
 pub struct WorkerLease {
     /// IP and port of the worker.
     pub address: String,
-    /// The highest token seen.
+    /// Highest token known for the worker.
     pub token: Token,
-    /// Where the lease stands.
+    /// Whether this daemon holds the lease.
     pub state: LeaseState,
-    /// The last change heard of.
+    /// Sequence number of the last change that the worker reported.
     pub seq: u64,
-    /// Whether the platform lists it still.
+    /// Whether the platform's latest list contains the worker.
     pub listed: bool,
     calling: bool,
     sent_ms: UnixMs,
     not_before_ms: UnixMs,
 }
 
-/// Where a lease stands.
+/// State of a lease from this daemon's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeaseState {
-    /// Somebody else's, or nobody's.
+    /// Another daemon holds the lease, or no daemon does.
     Other,
-    /// Mine until this time.
+    /// This daemon holds the lease.
     Mine {
-        /// End of the lease by this daemon's clock.
+        /// Time of expiry by this daemon's clock.
         until_ms: UnixMs,
     },
 }
 
-/// A call that is due.
+/// Call to a worker that is due.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Ask to hold.
+    /// Request a new lease.
     Acquire {
-        /// The worker.
+        /// Worker to call.
         worker: WorkerId,
-        /// The new token.
+        /// New token, higher than any known one.
         token: Token,
     },
-    /// Prolong, and hear what changed.
+    /// Extend the lease and fetch the changes on the worker.
     Renew {
-        /// The worker.
+        /// Worker to call.
         worker: WorkerId,
-        /// The token.
+        /// Token of the lease.
         token: Token,
-        /// The last change heard of.
+        /// Sequence number of the last known change.
         since: u64,
     },
-    /// Give back.
+    /// Return the lease.
     Release {
-        /// The worker.
+        /// Worker to call.
         worker: WorkerId,
-        /// The token.
+        /// Token of the lease.
         token: Token,
     },
 }
 
-/// What an answer means.
+/// Change of a lease that follows from a response or from local knowledge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseEvent {
-    /// The worker is held from now on; its state is in the answer.
+    /// This daemon holds the lease from now on; the response contains the worker's state.
     Acquired,
-    /// The lease goes on; news are in the answer.
+    /// The lease was extended; the response contains the changes on the worker.
     Renewed,
-    /// The worker is not held any more.
+    /// This daemon does not hold the lease any more.
     Lost,
     /// Nothing changed.
     Unchanged,
 }
 
 impl LeaseTable {
-    /// Holds nothing yet.
-    pub fn new(me: DaemonId, ttl_ms: u64, wait_ms: u64, moves_per_second: u64) -> Self {
+    /// Creates a table without any workers.
+    ///
+    /// `handovers_per_second` limits the leases given up to better placed daemons.
+    pub fn new(
+        local_daemon: DaemonId,
+        ttl_ms: u64,
+        renew_wait_ms: u64,
+        handovers_per_second: u64,
+    ) -> Self {
         Self {
-            me,
+            local_daemon,
             ttl_ms,
-            wait_ms,
-            moves_per_second,
+            renew_wait_ms,
+            handovers_per_second,
             workers: BTreeMap::new(),
-            moves_left: 0,
-            moves_since_ms: 0,
+            handovers_left: 0,
+            handover_window_ms: 0,
         }
     }
 
-    /// How long a lease runs.
+    /// Duration of a lease.
     pub fn ttl_ms(&self) -> u64 {
         self.ttl_ms
     }
 
-    /// How long a renewal waits for news.
+    /// How long a renewal waits at the worker for changes.
     pub fn wait_ms(&self) -> u64 {
-        self.wait_ms
+        self.renew_wait_ms
     }
 
-    /// Takes the zone's workers as the platform lists them. A worker that is
-    /// held stays until it stops answering, since the list is only a hint.
+    /// Updates the workers of the zone from the platform's list.
+    ///
+    /// A worker on which this daemon holds the lease stays in the table until it stops
+    /// responding, because the list is only a hint.
     pub fn update_workers(&mut self, listed: impl IntoIterator<Item = (WorkerId, String)>) {
-        for holding in self.workers.values_mut() {
-            holding.listed = false;
+        for lease in self.workers.values_mut() {
+            lease.listed = false;
         }
         for (worker, address) in listed {
-            let holding = self.workers.entry(worker).or_insert_with(|| WorkerLease {
+            let lease = self.workers.entry(worker).or_insert_with(|| WorkerLease {
                 address: address.clone(),
                 token: 0,
                 state: LeaseState::Other,
@@ -145,62 +155,64 @@
                 sent_ms: 0,
                 not_before_ms: 0,
             });
-            holding.listed = true;
-            holding.address = address;
+            lease.listed = true;
+            lease.address = address;
         }
-        self.workers.retain(|_, holding| {
-            holding.listed || holding.calling || holding.state != LeaseState::Other
-        });
+        self.workers
+            .retain(|_, lease| lease.listed || lease.calling || lease.state != LeaseState::Other);
     }
 
-    /// The calls that are due, given who may hold workers of this zone; of one
-    /// worker or of all. `busy` says which must not be given back yet.
+    /// Returns the calls that are due for the worker `only`, or for all workers.
+    ///
+    /// `holders` are the daemons that may hold workers of this zone. A lease on a worker
+    /// for which `is_busy` is true is not released yet.
     pub fn due(
         &mut self,
         now_ms: UnixMs,
         holders: &[DaemonId],
         only: Option<&WorkerId>,
-        busy: impl Fn(&WorkerId) -> bool,
+        is_busy: impl Fn(&WorkerId) -> bool,
     ) -> Vec<LeaseAction> {
-        self.refill_moves(now_ms);
-        let alone = !holders.contains(&self.me);
+        self.refill_handovers(now_ms);
+        let is_excluded = !holders.contains(&self.local_daemon);
         let mut actions = Vec::new();
         let range = match only {
             Some(worker) => self.workers.range_mut::<WorkerId, _>(worker..=worker),
             None => self.workers.range_mut::<WorkerId, _>(..),
         };
-        for (worker, holding) in range {
-            if holding.calling || now_ms < holding.not_before_ms {
+        for (worker, lease) in range {
+            if lease.calling || now_ms < lease.not_before_ms {
                 continue;
             }
-            let mine = rendezvous::select(worker.as_str(), holders) == Some(&self.me);
-            let action = match holding.state {
-                LeaseState::Other if mine && holding.listed => {
-                    LeaseAction::Acquire { worker: worker.clone(), token: holding.token + 1 }
+            let is_selected =
+                rendezvous::select(worker.as_str(), holders) == Some(&self.local_daemon);
+            let action = match lease.state {
+                LeaseState::Other if is_selected && lease.listed => {
+                    LeaseAction::Acquire { worker: worker.clone(), token: lease.token + 1 }
                 }
                 LeaseState::Other => continue,
                 LeaseState::Mine { .. } => {
-                    let may_move = alone || self.moves_left > 0;
-                    if !mine && !holders.is_empty() && may_move && !busy(worker) {
-                        self.moves_left = self.moves_left.saturating_sub(1);
-                        LeaseAction::Release { worker: worker.clone(), token: holding.token }
+                    let may_hand_over = is_excluded || self.handovers_left > 0;
+                    if !is_selected && !holders.is_empty() && may_hand_over && !is_busy(worker) {
+                        self.handovers_left = self.handovers_left.saturating_sub(1);
+                        LeaseAction::Release { worker: worker.clone(), token: lease.token }
                     } else {
                         LeaseAction::Renew {
                             worker: worker.clone(),
-                            token: holding.token,
-                            since: holding.seq,
+                            token: lease.token,
+                            since: lease.seq,
                         }
                     }
                 }
             };
-            holding.calling = true;
-            holding.sent_ms = now_ms;
+            lease.calling = true;
+            lease.sent_ms = now_ms;
             actions.push(action);
         }
         actions
     }
 
-    /// Takes a worker's answer to one of those calls; `None` where there was none.
+    /// Handles a worker's response to one of these calls; `None` means no response.
     pub fn on_reply(
         &mut self,
         now_ms: UnixMs,
@@ -208,110 +220,113 @@
         reply: Option<&WorkerReply>,
     ) -> LeaseEvent {
         let ttl_ms = self.ttl_ms;
-        let Some(holding) = self.workers.get_mut(worker) else {
+        let Some(lease) = self.workers.get_mut(worker) else {
             return LeaseEvent::Unchanged;
         };
-        holding.calling = false;
-        let until_ms = holding.sent_ms + ttl_ms;
+        lease.calling = false;
+        let until_ms = lease.sent_ms + ttl_ms;
         match reply {
             Some(WorkerReply::Granted { state, seq }) => {
-                holding.token = state.token;
-                holding.seq = *seq;
-                holding.state = LeaseState::Mine { until_ms };
+                lease.token = state.token;
+                lease.seq = *seq;
+                lease.state = LeaseState::Mine { until_ms };
                 LeaseEvent::Acquired
             }
-            // The lease was given up here while the renewal was on its way, so
-            // nothing is known of what runs there; it has to be acquired anew.
-            Some(WorkerReply::Renewed { .. }) if holding.state == LeaseState::Other => {
+            // The lease was dropped here while the renewal was in flight. What runs on
+            // the worker is not known, so the lease must be acquired again.
+            Some(WorkerReply::Renewed { .. }) if lease.state == LeaseState::Other => {
                 LeaseEvent::Unchanged
             }
             Some(WorkerReply::Renewed { seq, .. }) => {
-                holding.seq = *seq;
-                holding.state = LeaseState::Mine { until_ms };
+                lease.seq = *seq;
+                lease.state = LeaseState::Mine { until_ms };
                 LeaseEvent::Renewed
             }
             Some(WorkerReply::NotHolder { token, expires_ms, .. }) => {
-                holding.token = holding.token.max(*token);
-                holding.not_before_ms = now_ms + (*expires_ms).clamp(1, RETRY_MS);
-                holding.lose()
+                lease.token = lease.token.max(*token);
+                lease.not_before_ms = now_ms + (*expires_ms).clamp(1, RETRY_MS);
+                lease.mark_lost()
             }
             Some(WorkerReply::Released) => {
-                holding.not_before_ms = now_ms + RETRY_MS;
-                holding.lose()
+                lease.not_before_ms = now_ms + RETRY_MS;
+                lease.mark_lost()
             }
             Some(WorkerReply::Started { .. } | WorkerReply::Stopped) => LeaseEvent::Unchanged,
             None => {
-                holding.not_before_ms = now_ms + RETRY_MS;
-                // Whether an acquisition took effect is not known. The next one
-                // uses a higher token, so it cannot be refused as old.
-                if holding.state == LeaseState::Other {
-                    holding.token += 1;
+                lease.not_before_ms = now_ms + RETRY_MS;
+                // It is not known whether the acquisition took effect. The next one uses
+                // a higher token, so that the worker cannot refuse it as outdated.
+                if lease.state == LeaseState::Other {
+                    lease.token += 1;
                 }
                 LeaseEvent::Unchanged
             }
         }
     }
 
-    /// Takes from a refused start that somebody else holds the worker.
+    /// Handles a refused start, which shows that another daemon holds the worker.
     pub fn on_fenced(&mut self, worker: &WorkerId, token: Token) -> LeaseEvent {
-        let Some(holding) = self.workers.get_mut(worker) else {
+        let Some(lease) = self.workers.get_mut(worker) else {
             return LeaseEvent::Unchanged;
         };
-        holding.token = holding.token.max(token);
-        holding.lose()
+        lease.token = lease.token.max(token);
+        lease.mark_lost()
     }
 
-    /// The token under which this daemon may act on a worker now.
+    /// Token with which this daemon may act on the worker; `None` without a valid lease.
     pub fn token(&self, now_ms: UnixMs, worker: &WorkerId) -> Option<Token> {
-        let holding = self.workers.get(worker)?;
-        match holding.state {
-            LeaseState::Mine { until_ms } if now_ms < until_ms => Some(holding.token),
+        let lease = self.workers.get(worker)?;
+        match lease.state {
+            LeaseState::Mine { until_ms } if now_ms < until_ms => Some(lease.token),
             LeaseState::Mine { .. } | LeaseState::Other => None,
         }
     }
 
-    /// Leases that ran out while nobody renewed them. A paused daemon finds
-    /// out here, when it wakes up, that it must not act any more.
+    /// Workers whose lease has expired without a renewal.
+    ///
+    /// A daemon that was paused finds out here that it must not act on them any more.
     pub fn expired(&self, now_ms: UnixMs) -> Vec<WorkerId> {
-        let mut lapsed = Vec::new();
-        for (worker, holding) in &self.workers {
-            if matches!(holding.state, LeaseState::Mine { until_ms } if until_ms <= now_ms) {
-                lapsed.push(worker.clone());
+        let mut expired = Vec::new();
+        for (worker, lease) in &self.workers {
+            if matches!(lease.state, LeaseState::Mine { until_ms } if until_ms <= now_ms) {
+                expired.push(worker.clone());
             }
         }
-        lapsed
+        expired
     }
 
-    /// Stops counting on a worker without telling it.
+    /// Gives up the lease on a worker without a call to the worker.
     pub fn drop_lease(&mut self, worker: &WorkerId) -> LeaseEvent {
-        self.workers.get_mut(worker).map_or(LeaseEvent::Unchanged, WorkerLease::lose)
+        self.workers.get_mut(worker).map_or(LeaseEvent::Unchanged, WorkerLease::mark_lost)
     }
 
-    /// One worker.
+    /// State of the lease on a worker; `None` if the worker is not in the table.
     pub fn get(&self, worker: &WorkerId) -> Option<&WorkerLease> {
         self.workers.get(worker)
     }
 
-    /// All workers of the zone.
+    /// All workers of the zone, whether this daemon holds their lease or not.
     pub fn all(&self) -> impl Iterator<Item = (&WorkerId, &WorkerLease)> {
         self.workers.iter()
     }
 
-    /// How many workers are held.
+    /// Number of workers whose lease this daemon holds, expired leases included.
     pub fn held(&self) -> usize {
-        self.workers.values().filter(|holding| holding.state != LeaseState::Other).count()
+        self.workers.values().filter(|lease| lease.state != LeaseState::Other).count()
     }
 
-    fn refill_moves(&mut self, now_ms: UnixMs) {
-        if now_ms >= self.moves_since_ms + 1_000 {
-            self.moves_since_ms = now_ms;
-            self.moves_left = self.moves_per_second;
+    /// Allows the full number of hand-overs again at most once per second.
+    fn refill_handovers(&mut self, now_ms: UnixMs) {
+        if now_ms >= self.handover_window_ms + 1_000 {
+            self.handover_window_ms = now_ms;
+            self.handovers_left = self.handovers_per_second;
         }
     }
 }
 
 impl WorkerLease {
-    fn lose(&mut self) -> LeaseEvent {
+    /// Marks the lease as not held by this daemon.
+    fn mark_lost(&mut self) -> LeaseEvent {
         if self.state == LeaseState::Other {
             return LeaseEvent::Unchanged;
         }
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,8 +1,8 @@
-//! Daemons that are known, and when each was last heard.
+//! Known daemons and the time of the last heartbeat of each.
 //!
-//! Inside a zone every daemon hears every other. Between zones one relay a
-//! zone, chosen by rendezvous, hears the other relays and passes their news
-//! on, so only one copy crosses each pair of zones.
+//! Within a zone, every daemon sends heartbeats to every other. Between zones, one relay
+//! per zone, chosen by rendezvous hashing, exchanges news with the other relays and
+//! forwards them to its own zone, so that only one copy is sent between each pair of zones.
 
 use std::collections::BTreeMap;
 
@@ -15,150 +15,159 @@
 
 use crate::rendezvous;
 
-/// The key whose rendezvous winner speaks for a zone.
+/// Key whose daemon by rendezvous hashing is the relay of a zone.
 pub const RELAY_KEY: &str = "relay";
 
-/// One daemon that is known.
+/// State of a known daemon.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Who it is.
+    /// Identity from its last heartbeat, or from the instance list before the first one.
     pub identity: Identity,
-    /// When it was last heard; 0 is never.
+    /// Time of its last heartbeat; 0 means none yet.
     pub last_heartbeat_ms: UnixMs,
-    /// Whether the platform lists it.
+    /// Whether the platform's latest list contains it.
     pub listed: bool,
-    /// Whether it is about to stop.
+    /// Whether it announced that it is shutting down.
     pub stopping: bool,
-    /// The catalogue revision it last told.
+    /// Catalogue revision in its last heartbeat.
     pub revision: u64,
-    /// What it could place when last heard.
+    /// Last capacity summary that it sent.
     pub summary: Summary,
 }
 
-/// All daemons that this one knows, without itself.
+/// All daemons that this daemon knows, except itself.
 #[derive(Debug)]
 pub struct Members {
-    me: Identity,
+    local: Identity,
     silent_after_ms: u64,
     started_ms: UnixMs,
-    known: BTreeMap<DaemonId, Member>,
+    members: BTreeMap<DaemonId, Member>,
 }
 
 impl Members {
-    /// Knows nobody yet.
-    pub fn new(me: Identity, silent_after_ms: u64, now_ms: UnixMs) -> Self {
-        Self { me, silent_after_ms, started_ms: now_ms, known: BTreeMap::new() }
+    /// Creates an empty member list.
+    ///
+    /// A daemon counts as dead after `silent_after_ms` without a heartbeat.
+    pub fn new(local: Identity, silent_after_ms: u64, now_ms: UnixMs) -> Self {
+        Self { local, silent_after_ms, started_ms: now_ms, members: BTreeMap::new() }
     }
 
-    /// Takes the instance list: names new daemons and forgets those that are
-    /// neither listed nor heard.
+    /// Updates the members from the platform's instance list.
+    ///
+    /// Adds new daemons and removes those that are neither listed nor live.
     pub fn update_instances(&mut self, now_ms: UnixMs, listed: &[Identity]) {
-        for member in self.known.values_mut() {
+        for member in self.members.values_mut() {
             member.listed = false;
         }
         for identity in listed {
-            if identity.daemon == self.me.daemon {
+            if identity.daemon == self.local.daemon {
                 continue;
             }
             let member =
-                self.known.entry(identity.daemon.clone()).or_insert_with(|| new_member(identity));
+                self.members.entry(identity.daemon.clone()).or_insert_with(|| new_member(identity));
             member.listed = true;
-            // The list does not know incarnations; what the daemon says of itself stands.
+            // The list does not contain incarnations, so the identity from a heartbeat
+            // takes precedence.
             if member.last_heartbeat_ms == 0 {
                 member.identity = identity.clone();
             }
         }
         let silent_after_ms = self.silent_after_ms;
-        self.known.retain(|_, member| {
+        self.members.retain(|_, member| {
             member.listed || now_ms < member.last_heartbeat_ms + silent_after_ms
         });
     }
 
-    /// Takes a sign of life. A delayed one of an earlier start is left out.
-    pub fn on_heartbeat(&mut self, now_ms: UnixMs, beat: &Heartbeat) {
-        if beat.from.daemon == self.me.daemon {
+    /// Handles a heartbeat. Ignores a delayed one from an earlier incarnation.
+    pub fn on_heartbeat(&mut self, now_ms: UnixMs, heartbeat: &Heartbeat) {
+        if heartbeat.from.daemon == self.local.daemon {
             return;
         }
-        let member =
-            self.known.entry(beat.from.daemon.clone()).or_insert_with(|| new_member(&beat.from));
-        if beat.from.incarnation < member.identity.incarnation {
+        let member = self
+            .members
+            .entry(heartbeat.from.daemon.clone())
+            .or_insert_with(|| new_member(&heartbeat.from));
+        if heartbeat.from.incarnation < member.identity.incarnation {
             return;
         }
-        member.identity = beat.from.clone();
+        member.identity = heartbeat.from.clone();
         member.last_heartbeat_ms = now_ms;
-        member.stopping = beat.stopping;
-        member.revision = beat.revision;
-        if let Some(summary) = &beat.summary {
+        member.stopping = heartbeat.stopping;
+        member.revision = heartbeat.revision;
+        if let Some(summary) = &heartbeat.summary {
             member.summary = summary.clone();
         }
     }
 
-    /// Whether a daemon was heard of late.
+    /// Whether a daemon is this one or sent a heartbeat recently.
     pub fn is_live(&self, now_ms: UnixMs, daemon: &DaemonId) -> bool {
-        *daemon == self.me.daemon
-            || self.known.get(daemon).is_some_and(|member| self.heard_lately(now_ms, member))
+        *daemon == self.local.daemon
+            || self.members.get(daemon).is_some_and(|member| self.is_member_live(now_ms, member))
     }
 
-    /// Daemons of my zone that hold workers or may: alive and not stopping.
+    /// Daemons of this zone that may hold workers: live and not shutting down.
+    ///
+    /// `stopping` tells whether this daemon itself is shutting down.
     pub fn holders(&self, now_ms: UnixMs, stopping: bool) -> Vec<DaemonId> {
         let mut holders = Vec::new();
-        for member in self.known.values() {
-            let same_zone = member.identity.zone == self.me.zone;
-            if same_zone && !member.stopping && self.heard_lately(now_ms, member) {
+        for member in self.members.values() {
+            let same_zone = member.identity.zone == self.local.zone;
+            if same_zone && !member.stopping && self.is_member_live(now_ms, member) {
                 holders.push(member.identity.daemon.clone());
             }
         }
         if !stopping {
-            holders.push(self.me.daemon.clone());
+            holders.push(self.local.daemon.clone());
         }
         holders
     }
 
-    /// Members of a zone that were heard of late.
+    /// Other daemons of a zone that sent a heartbeat recently.
     pub fn live_in_zone(&self, now_ms: UnixMs, zone: &ZoneName) -> impl Iterator<Item = &Member> {
-        self.known.values().filter(move |member| {
-            member.identity.zone == *zone && self.heard_lately(now_ms, member)
+        self.members.values().filter(move |member| {
+            member.identity.zone == *zone && self.is_member_live(now_ms, member)
         })
     }
 
-    /// Members that were heard of late, in any zone.
+    /// Other daemons of any zone that sent a heartbeat recently.
     pub fn live(&self, now_ms: UnixMs) -> impl Iterator<Item = &Member> {
-        self.known.values().filter(move |member| self.heard_lately(now_ms, member))
+        self.members.values().filter(move |member| self.is_member_live(now_ms, member))
     }
 
-    /// Everybody that is known.
+    /// All known daemons, live or not.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
-        self.known.values()
+        self.members.values()
     }
 
-    /// One daemon.
+    /// State of a daemon; `None` if it is unknown or this daemon itself.
     pub fn get(&self, daemon: &DaemonId) -> Option<&Member> {
-        self.known.get(daemon)
+        self.members.get(daemon)
     }
 
-    /// Whether this daemon speaks for its zone.
+    /// Whether this daemon is the relay of its zone.
     pub fn is_relay(&self, now_ms: UnixMs) -> bool {
         let holders = self.holders(now_ms, false);
-        rendezvous::select(RELAY_KEY, &holders) == Some(&self.me.daemon)
+        rendezvous::select(RELAY_KEY, &holders) == Some(&self.local.daemon)
     }
 
-    /// The daemons of every other zone, by zone.
+    /// Known daemons of every other zone, live or not, by zone.
     pub fn other_zones(&self) -> BTreeMap<&ZoneName, Vec<&DaemonId>> {
         let mut zones: BTreeMap<&ZoneName, Vec<&DaemonId>> = BTreeMap::new();
-        for member in self.known.values() {
-            if member.identity.zone != self.me.zone {
+        for member in self.members.values() {
+            if member.identity.zone != self.local.zone {
                 zones.entry(&member.identity.zone).or_default().push(&member.identity.daemon);
             }
         }
         zones
     }
 
-    /// Whether enough time has passed since the start to have heard everybody alive.
+    /// Whether this daemon has run long enough to have received a heartbeat from every
+    /// live daemon.
     pub fn is_warmed_up(&self, now_ms: UnixMs) -> bool {
         now_ms >= self.started_ms + self.silent_after_ms
     }
 
-    fn heard_lately(&self, now_ms: UnixMs, member: &Member) -> bool {
+    fn is_member_live(&self, now_ms: UnixMs, member: &Member) -> bool {
         member.last_heartbeat_ms > 0 && now_ms < member.last_heartbeat_ms + self.silent_after_ms
     }
 }
--- a/crates/membership/src/rendezvous.rs
+++ b/crates/membership/src/rendezvous.rs
@@ -1,13 +1,13 @@
-//! Rendezvous hashing: every daemon gets a score for every key, the highest wins.
+//! Rendezvous hashing: each key belongs to the daemon with the highest score for it.
 //!
-//! When a daemon goes, only its own keys move; when one comes, it takes an
-//! even part from all. 958 failures and replacements a day thus move each
-//! worker as seldom as can be.
+//! When a daemon leaves, only its own keys move. When one joins, it takes an equal share
+//! from every other daemon. With 958 failures and replacements per day, this moves each
+//! worker as rarely as possible.
 
 use stoatwell_model::DaemonId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The daemon that a key belongs to.
+/// Selects the daemon to which `key` belongs; `None` if there are no daemons.
 pub fn select<'a>(
     key: &str,
     daemons: impl IntoIterator<Item = &'a DaemonId>,
