--- a/crates/catalogue/src/document.rs
+++ b/crates/catalogue/src/document.rs
@@ -1,7 +1,7 @@
-//! Entries as operators write them.
+//! Parser for the entries that operators write.
 //!
-//! A document is one entry or `{"entries": [...]}`. Each entry has a `kind`,
-//! `work` or `owner`; all mistakes of all entries are found at once.
+//! A document is one entry or `{"entries": [...]}`. Each entry has a `kind`, which is
+//! `work` or `owner`. The errors of all entries are reported at once.
 
 use serde_json::Value;
 use stoatwell_model::Class;
@@ -24,7 +24,7 @@
 const QUOTA_ACCELERATORS_MAX: u64 = 1 << 20;
 const DEADLINE_MS_MAX: u64 = 30 * 24 * 60 * 60 * 1_000;
 
-/// The fields of a work entry.
+/// Schema of a work entry.
 pub const WORK_FIELDS: &[Field] = &[
     Field::required("kind", Kind::Choice(&["work"]), "what the entry describes"),
     Field::required("name", Kind::Name, "the entry's name, which submissions give"),
@@ -103,7 +103,7 @@
     ),
 ];
 
-/// The fields of an owner entry.
+/// Schema of an owner entry.
 pub const OWNER_FIELDS: &[Field] = &[
     Field::required("kind", Kind::Choice(&["owner"]), "what the entry describes"),
     Field::required("owner", Kind::Name, "the owner's name"),
@@ -149,12 +149,12 @@
     ),
 ];
 
-/// Reads a document into items.
+/// Parses a document into items, or returns all its errors.
 pub fn parse(text: &str) -> Result<Vec<Item>, Failure> {
     let document: Value = serde_json::from_str(text)
         .map_err(|error| Failure::with_detail(Code::BrokenJson, error))?;
     let Some(entries) = document.get("entries") else {
-        let item = parse_one(&document)
+        let item = parse_entry(&document)
             .map_err(|problems| Failure::new(Code::InvalidDocument).with_problems(problems))?;
         return Ok(vec![item]);
     };
@@ -165,9 +165,11 @@
     let mut items = Vec::new();
     let mut problems = Vec::new();
     for (index, entry) in entries.iter().enumerate() {
-        match parse_one(entry) {
+        match parse_entry(entry) {
             Ok(item) => items.push(item),
-            Err(found) => problems.extend(found.into_iter().map(|problem| inside(index, problem))),
+            Err(found) => {
+                problems.extend(found.into_iter().map(|problem| prefix_path(index, problem)))
+            }
         }
     }
     if problems.is_empty() {
@@ -176,12 +178,13 @@
     Err(Failure::new(Code::InvalidDocument).with_problems(problems))
 }
 
-fn inside(index: usize, problem: Problem) -> Problem {
+/// Extends the path of a problem by the position of its entry.
+fn prefix_path(index: usize, problem: Problem) -> Problem {
     let path = format!("$.entries[{index}]{}", problem.path.trim_start_matches('$'));
     Problem { path, ..problem }
 }
 
-fn parse_one(document: &Value) -> Result<Item, Vec<Problem>> {
+fn parse_entry(document: &Value) -> Result<Item, Vec<Problem>> {
     let is_owner = document.get("kind").and_then(Value::as_str) == Some("owner");
     let fields = if is_owner { OWNER_FIELDS } else { WORK_FIELDS };
     let mut checked = stoatwell_schema::check(fields, document)?;
@@ -189,15 +192,15 @@
         object.remove("kind");
     }
     if is_owner {
-        let owner: OwnerEntry = serde_json::from_value(checked).map_err(unreadable)?;
+        let owner: OwnerEntry = serde_json::from_value(checked).map_err(unexpected_shape)?;
         return Ok(Item::Owner(owner));
     }
-    let work: WorkEntry = serde_json::from_value(checked).map_err(unreadable)?;
-    let problems = disagreements(&work);
+    let work: WorkEntry = serde_json::from_value(checked).map_err(unexpected_shape)?;
+    let problems = inconsistencies(&work);
     if problems.is_empty() { Ok(Item::Work(work)) } else { Err(problems) }
 }
 
-fn unreadable(error: serde_json::Error) -> Vec<Problem> {
+fn unexpected_shape(error: serde_json::Error) -> Vec<Problem> {
     vec![Problem {
         path: "$".to_owned(),
         value: error.to_string(),
@@ -206,10 +209,10 @@
     }]
 }
 
-/// Mistakes that only two fields together make.
-fn disagreements(work: &WorkEntry) -> Vec<Problem> {
+/// Checks combinations of fields that are valid individually.
+fn inconsistencies(work: &WorkEntry) -> Vec<Problem> {
     let mut problems = Vec::new();
-    let mut tell = |path: &str, value: String, expected: &str, hint: &str| {
+    let mut report = |path: &str, value: String, expected: &str, hint: &str| {
         problems.push(Problem {
             path: path.to_owned(),
             value,
@@ -219,7 +222,7 @@
     };
     let is_request = work.class == Class::Request;
     if is_request && work.minions.is_none() {
-        tell(
+        report(
             "$.minions",
             "null".to_owned(),
             "a group of minions",
@@ -227,13 +230,13 @@
         );
     }
     if !is_request && work.minions.is_some() {
-        tell("$.minions", "(given)".to_owned(), "null", "only requests go to minions");
+        report("$.minions", "(given)".to_owned(), "null", "only requests go to minions");
     }
     if !is_request && work.task.cpu_millis == 0 {
-        tell("$.task.cpu_millis", "0".to_owned(), "1 or more", "every task needs some processor");
+        report("$.task.cpu_millis", "0".to_owned(), "1 or more", "every task needs some processor");
     }
     if is_request && work.execution == Execution::Exclusive {
-        tell(
+        report(
             "$.execution",
             "exclusive".to_owned(),
             "at_most_once or idempotent",
@@ -241,7 +244,7 @@
         );
     }
     if work.class == Class::Service && work.execution == Execution::AtMostOnce {
-        tell(
+        report(
             "$.execution",
             "at_most_once".to_owned(),
             "exclusive or idempotent",
--- a/crates/catalogue/src/edit.rs
+++ b/crates/catalogue/src/edit.rs
@@ -1,9 +1,10 @@
-//! One change of the catalogue, made in the platform's table.
+//! Makes one change of the catalogue in the platform's table.
 //!
-//! A change is one transaction that checks the head's version, so two
-//! operators never both win. Read, decide, commit; a conflict reads again. An
-//! answer can be lost after the write took effect; the change row then carries
-//! our write id, and reading it tells.
+//! A change is one transaction that checks the version of the head row, so that two
+//! concurrent changes cannot both succeed. The steps are read, decide and commit; after a
+//! conflict, the change starts again from the read. A response can be lost after the
+//! write took effect. In this case the row of the change contains our write id, and a
+//! read of that row shows it.
 
 use stoatwell_model::Code;
 use stoatwell_model::Failure;
@@ -24,42 +25,42 @@
 use crate::Versioned;
 use crate::rows;
 
-/// Tries before an operator is told to come back.
-const TRIES_MAX: u32 = 12;
+/// Number of attempts before the change fails.
+const ATTEMPTS_MAX: u32 = 12;
 
-/// What somebody wants changed.
+/// Requested change of one item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EditRequest {
-    /// The item's key.
+    /// Key of the item.
     pub key: String,
-    /// What becomes of it.
+    /// Operation on the item.
     pub edit: EditKind,
-    /// The revision it must have; 0 means it must be new, `None` takes any.
+    /// Revision that the item must have; 0 means that it must not exist, `None` means any.
     pub expected: Option<u64>,
-    /// Who asks.
+    /// Who requests the change.
     pub by: String,
-    /// When.
+    /// Time of the request.
     pub at_ms: UnixMs,
-    /// A number nobody else uses.
+    /// Unique identifier of the write.
     pub write_id: u64,
 }
 
-/// What becomes of an item.
+/// Operation on an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EditKind {
-    /// It is written.
+    /// Create or replace the item.
     Put(Item),
-    /// It is removed.
+    /// Remove the item.
     Delete,
-    /// The target makes this step.
+    /// Apply a change to the target of a worker.
     Target(WorkerId, TargetChange),
 }
 
-/// A change on its way.
+/// State machine of a change in progress.
 #[derive(Clone, Debug)]
 pub struct Edit {
     request: EditRequest,
-    tries: u32,
+    attempts: u32,
     phase: Phase,
 }
 
@@ -67,34 +68,34 @@
 enum Phase {
     Reading,
     Committing(Change),
-    // The commit's answer was lost; the change row is being read.
+    // The response to the commit was lost; the row of the change is being read.
     Confirming(Change),
 }
 
-/// What to do next.
+/// Next action of the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EditStep {
-    /// Ask the store this and hand over the answer.
+    /// Send this call to the store and pass the response to [`Edit::on_reply`].
     Call(StoreCall),
-    /// The change is accepted, or refused for good.
+    /// The change was accepted, or it failed finally.
     Done(Result<Change, Failure>),
 }
 
 impl Edit {
-    /// Starts a change; the call is its first.
+    /// Starts a change and returns its first call.
     pub fn start(request: EditRequest) -> (Self, StoreCall) {
-        let call = read(&request.key);
-        (Self { request, tries: 0, phase: Phase::Reading }, call)
+        let call = read_item_call(&request.key);
+        (Self { request, attempts: 0, phase: Phase::Reading }, call)
     }
 
-    /// Takes the answer to the last call.
+    /// Handles the response to the last call.
     pub fn on_reply(&mut self, reply: Result<StoreReply, CallError>) -> EditStep {
         match (self.phase.clone(), reply) {
             (Phase::Reading, Ok(StoreReply::Rows { rows })) => self.decide(&rows),
             (Phase::Committing(change), Ok(StoreReply::Committed { .. })) => {
                 EditStep::Done(Ok(change))
             }
-            (Phase::Committing(_), Ok(StoreReply::Conflict { .. })) => self.again(),
+            (Phase::Committing(_), Ok(StoreReply::Conflict { .. })) => self.restart(),
             (
                 Phase::Committing(change) | Phase::Confirming(change),
                 Err(CallError::NoAnswer(_)),
@@ -103,31 +104,35 @@
                 let written = rows.first().and_then(|row| serde_json::from_str(&row.value).ok());
                 match written {
                     Some(found) if change == found => EditStep::Done(Ok(change)),
-                    _ => self.again(),
+                    _ => self.restart(),
                 }
             }
-            // The write may have taken effect, and nobody can tell now.
+            // The write may have taken effect, and there is no way to find out now.
             (Phase::Confirming(_), Err(error)) => {
                 EditStep::Done(Err(Failure::with_detail(Code::AcceptanceUnknown, error)))
             }
-            (_, Err(error)) => EditStep::Done(Err(unavailable(error))),
+            (_, Err(error)) => EditStep::Done(Err(store_unavailable(error))),
             (_, Ok(other)) => EditStep::Done(Err(Failure::with_detail(
                 Code::Internal,
-                format!("unexpected answer of the store: {other:?}"),
+                format!("unexpected response of the store: {other:?}"),
             ))),
         }
     }
 
     fn decide(&mut self, rows: &[Row]) -> EditStep {
         let [head, item] = rows else {
-            return EditStep::Done(Err(Failure::with_detail(Code::Internal, "two rows expected")));
+            return EditStep::Done(Err(Failure::with_detail(
+                Code::Internal,
+                "the store did not return exactly the head row and the item row",
+            )));
         };
         let current: Option<Versioned> = serde_json::from_str(&item.value).ok();
-        let found = current.as_ref().map_or(0, |versioned| versioned.revision);
+        let current_revision = current.as_ref().map_or(0, |versioned| versioned.revision);
         if let Some(expected) = self.request.expected
-            && expected != found
+            && expected != current_revision
         {
-            let detail = format!("{} is at revision {found}, not {expected}", self.request.key);
+            let detail =
+                format!("{} is at revision {current_revision}, not {expected}", self.request.key);
             return EditStep::Done(Err(Failure::with_detail(Code::RevisionConflict, detail)));
         }
         let item = match self.next_item(current.as_ref()) {
@@ -169,21 +174,23 @@
         }
     }
 
-    fn again(&mut self) -> EditStep {
-        self.tries += 1;
-        if self.tries >= TRIES_MAX {
-            let detail = "too many changes at once; nothing was changed";
+    /// Starts again from the read, unless all attempts are used up.
+    fn restart(&mut self) -> EditStep {
+        self.attempts += 1;
+        if self.attempts >= ATTEMPTS_MAX {
+            let detail = "too many concurrent changes; nothing was changed";
             return EditStep::Done(Err(
                 Failure::with_detail(Code::Overloaded, detail).retry_after(1_000)
             ));
         }
         self.phase = Phase::Reading;
-        EditStep::Call(read(&self.request.key))
+        EditStep::Call(read_item_call(&self.request.key))
     }
 
+    /// Reads the row of the change to find out whether the commit took effect.
     fn confirm(&mut self, change: Change) -> EditStep {
-        self.tries += 1;
-        if self.tries >= TRIES_MAX {
+        self.attempts += 1;
+        if self.attempts >= ATTEMPTS_MAX {
             return EditStep::Done(Err(Failure::new(Code::AcceptanceUnknown)));
         }
         let call = StoreCall::Read { keys: vec![rows::change_key(change.revision)] };
@@ -192,7 +199,7 @@
     }
 }
 
-fn read(key: &str) -> StoreCall {
+fn read_item_call(key: &str) -> StoreCall {
     StoreCall::Read { keys: vec![rows::HEAD.to_owned(), rows::item_key(key)] }
 }
 
@@ -220,6 +227,6 @@
     Put { key, value: serde_json::to_string(value).unwrap_or_default() }
 }
 
-fn unavailable(error: CallError) -> Failure {
+fn store_unavailable(error: CallError) -> Failure {
     Failure::with_detail(Code::StoreUnavailable, error).retry_after(1_000)
 }
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -1,9 +1,9 @@
-//! The catalogue at one revision, and the merge that never goes back.
+//! The catalogue at one revision, and updates that never revert it.
 //!
-//! Every accepted change raises one revision for the whole catalogue.
-//! [`Catalogue`] is what a daemon has in force, [`edit`] makes one change in
-//! the platform's table, [`watcher`] keeps up with the table, and
-//! [`document`] reads what operators write.
+//! Every accepted change increments one revision number for the whole catalogue.
+//! [`Catalogue`] is the catalogue in force at a daemon, [`edit`] makes one change in the
+//! platform's table, [`watcher`] fetches changes from the table, and [`document`] parses
+//! the entries that operators write.
 
 pub mod document;
 pub mod edit;
@@ -27,80 +27,84 @@
 pub use edit::EditRequest;
 pub use watcher::CatalogueWatcher;
 
-/// Changes kept for peers and for the history; older ones come as a snapshot.
-const LOG_CHANGES_MAX: usize = 512;
+/// Number of changes to keep for peers and for the history. A peer that lacks older
+/// changes gets a snapshot.
+const CHANGE_LOG_MAX: usize = 512;
 
-/// Something the catalogue keeps under a key.
+/// Value that the catalogue stores under a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Item {
-    /// One kind of work.
+    /// Entry of one kind of work.
     Work(WorkEntry),
-    /// One customer.
+    /// Entry of one customer.
     Owner(OwnerEntry),
-    /// One worker and who may use it.
+    /// A worker and the owner that may use it.
     Target(Target),
 }
 
 /// An item with the revision that wrote it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Versioned {
-    /// The catalogue revision that wrote it.
+    /// Catalogue revision of the change that wrote the item.
     pub revision: u64,
-    /// The item.
+    /// Current content.
     pub item: Item,
 }
 
 /// One accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The revision it made.
+    /// Catalogue revision that the change created.
     pub revision: u64,
-    /// The item's key.
+    /// Key of the changed item.
     pub key: String,
-    /// The item from now on; `None` where it was removed.
+    /// New content of the item; `None` if the change removed it.
     pub item: Option<Item>,
-    /// Who made it.
+    /// Who requested the change.
     pub by: String,
-    /// When it was made.
+    /// Time of the request.
     pub at_ms: UnixMs,
-    /// Names the write, so that a lost answer can be told by reading.
+    /// Identifier of the write. After a lost response, a read of the change's row shows by
+    /// this identifier whether the write took effect.
     pub write_id: u64,
 }
 
-/// What one daemon tells another that is behind.
+/// Update that a daemon sends to a peer with an older revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CatalogueUpdate {
-    /// All changes since the revision that was asked for.
+    /// All changes since the peer's revision.
     Changes(Vec<Change>),
-    /// The whole catalogue, where the changes are not kept any more.
+    /// The whole catalogue, if some of these changes are not kept any more.
     Snapshot(Snapshot),
 }
 
 /// The whole catalogue at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The revision.
+    /// Revision of the catalogue.
     pub revision: u64,
     /// All items by key.
     pub items: BTreeMap<String, Versioned>,
 }
 
-/// The catalogue that is in force at a daemon.
+/// Catalogue in force at a daemon.
 #[derive(Clone, Debug, Default)]
 pub struct Catalogue {
     revision: u64,
     items: BTreeMap<String, Versioned>,
-    log: VecDeque<Change>,
+    change_log: VecDeque<Change>,
 }
 
 impl Catalogue {
-    /// The revision in force; 0 before anything was read.
+    /// Revision in force; 0 before the catalogue was first read.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Takes the next change; an older one or one with a gap before it is left out.
+    /// Applies the next change and returns whether it was applied.
+    ///
+    /// Ignores a change that is older, and one that would leave a gap of revisions.
     pub fn apply(&mut self, change: Change) -> bool {
         if change.revision != self.revision + 1 {
             return false;
@@ -115,29 +119,30 @@
                 self.items.remove(&change.key);
             }
         }
-        self.log.push_back(change);
-        if self.log.len() > LOG_CHANGES_MAX {
-            self.log.pop_front();
+        self.change_log.push_back(change);
+        if self.change_log.len() > CHANGE_LOG_MAX {
+            self.change_log.pop_front();
         }
         true
     }
 
-    /// Takes a whole catalogue. A stale peer or a late answer may offer an
-    /// older one; taking it would let an accepted change revert, so only a
-    /// higher revision replaces what is in force.
+    /// Replaces the whole catalogue and returns whether it was replaced.
+    ///
+    /// A stale peer or a late response may contain an older catalogue, which would revert
+    /// accepted changes. Therefore only a higher revision replaces the one in force.
     pub fn replace(&mut self, snapshot: Snapshot) -> bool {
         if snapshot.revision <= self.revision {
             return false;
         }
         self.revision = snapshot.revision;
         self.items = snapshot.items;
-        self.log.clear();
+        self.change_log.clear();
         true
     }
 
-    /// Takes what another daemon told; says whether anything changed.
-    pub fn merge(&mut self, news: CatalogueUpdate) -> bool {
-        match news {
+    /// Applies an update from another daemon and returns whether anything changed.
+    pub fn merge(&mut self, update: CatalogueUpdate) -> bool {
+        match update {
             CatalogueUpdate::Changes(changes) => {
                 let before = self.revision;
                 for change in changes {
@@ -149,40 +154,41 @@
         }
     }
 
-    /// What a daemon at `revision` lacks.
+    /// Returns the update for a daemon at `revision`.
     pub fn updates_since(&self, revision: u64) -> CatalogueUpdate {
         if revision >= self.revision {
             return CatalogueUpdate::Changes(Vec::new());
         }
-        let kept = self.log.front().is_some_and(|oldest| oldest.revision <= revision + 1);
-        if !kept {
+        let is_logged =
+            self.change_log.front().is_some_and(|oldest| oldest.revision <= revision + 1);
+        if !is_logged {
             return CatalogueUpdate::Snapshot(self.snapshot());
         }
-        let newer = self.log.iter().filter(|change| change.revision > revision);
+        let newer = self.change_log.iter().filter(|change| change.revision > revision);
         CatalogueUpdate::Changes(newer.cloned().collect())
     }
 
-    /// The whole catalogue.
+    /// Copies the whole catalogue.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot { revision: self.revision, items: self.items.clone() }
     }
 
-    /// The latest changes of one item, oldest first.
+    /// The most recent changes of one item, oldest first, as far as they are kept.
     pub fn history(&self, key: &str) -> Vec<&Change> {
-        self.log.iter().filter(|change| change.key == key).collect()
+        self.change_log.iter().filter(|change| change.key == key).collect()
     }
 
-    /// An item by key.
+    /// Looks up an item by key.
     pub fn get(&self, key: &str) -> Option<&Versioned> {
         self.items.get(key)
     }
 
-    /// All items in the order of their keys.
+    /// All items in ascending order of their keys.
     pub fn items(&self) -> impl Iterator<Item = (&str, &Versioned)> {
         self.items.iter().map(|(key, item)| (key.as_str(), item))
     }
 
-    /// A work entry.
+    /// Looks up a work entry by name.
     pub fn work(&self, name: &EntryName) -> Option<&WorkEntry> {
         match &self.items.get(&work_key(name))?.item {
             Item::Work(entry) => Some(entry),
@@ -190,7 +196,7 @@
         }
     }
 
-    /// A customer.
+    /// Looks up a customer's entry by name.
     pub fn owner(&self, name: &OwnerName) -> Option<&OwnerEntry> {
         match &self.items.get(&owner_key(name))?.item {
             Item::Owner(entry) => Some(entry),
@@ -198,7 +204,7 @@
         }
     }
 
-    /// A target.
+    /// Looks up a target by worker.
     pub fn target(&self, worker: &WorkerId) -> Option<&Target> {
         match &self.items.get(&target_key(worker))?.item {
             Item::Target(target) => Some(target),
@@ -206,7 +212,7 @@
         }
     }
 
-    /// All customers.
+    /// Entries of all customers.
     pub fn owners(&self) -> impl Iterator<Item = &OwnerEntry> {
         self.items.values().filter_map(|versioned| match &versioned.item {
             Item::Owner(owner) => Some(owner),
@@ -214,7 +220,7 @@
         })
     }
 
-    /// All work entries.
+    /// Entries of all kinds of work.
     pub fn work_entries(&self) -> impl Iterator<Item = &WorkEntry> {
         self.items.values().filter_map(|versioned| match &versioned.item {
             Item::Work(work) => Some(work),
@@ -231,17 +237,17 @@
     }
 }
 
-/// The key of a work entry.
+/// Catalogue key of a work entry.
 pub fn work_key(name: &EntryName) -> String {
     format!("work/{name}")
 }
 
-/// The key of a customer.
+/// Catalogue key of a customer's entry.
 pub fn owner_key(name: &OwnerName) -> String {
     format!("owner/{name}")
 }
 
-/// The key of a target.
+/// Catalogue key of a target.
 pub fn target_key(worker: &WorkerId) -> String {
     format!("target/{worker}")
 }
--- a/crates/catalogue/src/watcher.rs
+++ b/crates/catalogue/src/watcher.rs
@@ -1,8 +1,8 @@
-//! Keeping up with the catalogue in the platform's table.
+//! Fetches changes of the catalogue from the platform's table.
 //!
-//! The head is one small row, read about once a second. Only when it has
-//! risen are the changes fetched; a daemon that is far behind or new reads all
-//! items instead. While the store is away the catalogue in force stays.
+//! The head is one small row, which is read about once per second. Changes are fetched
+//! only if its revision has increased; a daemon that is new or far behind reads all items
+//! instead. While the store is unavailable, the catalogue in force remains.
 
 use stoatwell_model::UnixMs;
 use stoatwell_platform::Row;
@@ -14,55 +14,56 @@
 use crate::Versioned;
 use crate::rows;
 
-/// Changes fetched one by one; a daemon further behind reads all items.
-const BEHIND_MAX: u64 = 256;
+/// Maximum number of missing changes to fetch. A daemon further behind reads all items.
+const CHANGES_BEHIND_MAX: u64 = 256;
 const SCAN_ROWS: u32 = 500;
 
-/// Where the following stands.
+/// State of the polling of the catalogue.
 #[derive(Clone, Debug)]
 pub struct CatalogueWatcher {
     poll_ms: u64,
-    next_ms: UnixMs,
+    next_poll_ms: UnixMs,
     phase: Phase,
     confirmed_ms: UnixMs,
-    head: u64,
+    head_revision: u64,
 }
 
 #[derive(Clone, Debug)]
 enum Phase {
     Idle,
-    Head,
-    Changes,
-    Items(Snapshot),
+    ReadingHead,
+    ReadingChanges,
+    ReadingItems(Snapshot),
 }
 
 impl CatalogueWatcher {
-    /// Starts with the first poll due at once.
+    /// Creates a watcher whose first poll is due immediately.
     pub fn new(poll_ms: u64) -> Self {
-        Self { poll_ms, next_ms: 0, phase: Phase::Idle, confirmed_ms: 0, head: 0 }
+        Self { poll_ms, next_poll_ms: 0, phase: Phase::Idle, confirmed_ms: 0, head_revision: 0 }
     }
 
-    /// When the catalogue in force was last seen to be the newest; 0 is never.
+    /// Time at which the catalogue in force was last confirmed to be the newest; 0 means
+    /// never.
     pub fn confirmed_ms(&self) -> UnixMs {
         self.confirmed_ms
     }
 
-    /// Makes the next poll due now, because somebody told of a change.
+    /// Makes the next poll due now, because a change was announced.
     pub fn poll_now(&mut self) {
-        self.next_ms = 0;
+        self.next_poll_ms = 0;
     }
 
-    /// The call that is due, if one is.
+    /// Returns the poll of the head row if it is due and no other call is in flight.
     pub fn due(&mut self, now_ms: UnixMs) -> Option<StoreCall> {
-        if !matches!(self.phase, Phase::Idle) || now_ms < self.next_ms {
+        if !matches!(self.phase, Phase::Idle) || now_ms < self.next_poll_ms {
             return None;
         }
-        self.next_ms = now_ms + self.poll_ms;
-        self.phase = Phase::Head;
+        self.next_poll_ms = now_ms + self.poll_ms;
+        self.phase = Phase::ReadingHead;
         Some(StoreCall::Read { keys: vec![rows::HEAD.to_owned()] })
     }
 
-    /// Takes the rows of the last call; `None` where it failed. Gives the next call.
+    /// Handles the rows of the last call, `None` if it failed, and returns the next call.
     pub fn on_rows(
         &mut self,
         now_ms: UnixMs,
@@ -75,35 +76,38 @@
         };
         match std::mem::replace(&mut self.phase, Phase::Idle) {
             Phase::Idle => None,
-            Phase::Head => {
-                self.head = rows.first().map_or(0, rows::head_revision);
-                self.after_head(now_ms, catalogue)
+            Phase::ReadingHead => {
+                self.head_revision = rows.first().map_or(0, rows::head_revision);
+                self.on_head(now_ms, catalogue)
             }
-            Phase::Changes => {
+            Phase::ReadingChanges => {
                 for row in rows {
                     if let Ok(change) = serde_json::from_str::<Change>(&row.value) {
                         catalogue.apply(change);
                     }
                 }
-                self.confirm(now_ms, catalogue);
+                self.mark_if_current(now_ms, catalogue);
                 None
             }
-            Phase::Items(snapshot) => Some(self.on_items(catalogue, snapshot, rows)),
+            Phase::ReadingItems(snapshot) => Some(self.on_items(catalogue, snapshot, rows)),
         }
     }
 
-    fn after_head(&mut self, now_ms: UnixMs, catalogue: &Catalogue) -> Option<StoreCall> {
-        let have = catalogue.revision();
-        if self.head <= have {
-            self.confirm(now_ms, catalogue);
+    fn on_head(&mut self, now_ms: UnixMs, catalogue: &Catalogue) -> Option<StoreCall> {
+        let local_revision = catalogue.revision();
+        if self.head_revision <= local_revision {
+            self.mark_if_current(now_ms, catalogue);
             return None;
         }
-        if have == 0 || self.head - have > BEHIND_MAX {
-            self.phase = Phase::Items(Snapshot { revision: self.head, ..Snapshot::default() });
+        if local_revision == 0 || self.head_revision - local_revision > CHANGES_BEHIND_MAX {
+            self.phase = Phase::ReadingItems(Snapshot {
+                revision: self.head_revision,
+                ..Snapshot::default()
+            });
             return Some(scan(rows::ITEMS, String::new()));
         }
-        self.phase = Phase::Changes;
-        Some(scan(rows::CHANGES, rows::change_key(have)))
+        self.phase = Phase::ReadingChanges;
+        Some(scan(rows::CHANGES, rows::change_key(local_revision)))
     }
 
     fn on_items(
@@ -112,27 +116,28 @@
         mut snapshot: Snapshot,
         rows: Vec<Row>,
     ) -> StoreCall {
-        let full = rows.len() as u32 == SCAN_ROWS;
-        let last = rows.last().map(|row| row.key.clone()).unwrap_or_default();
+        let has_more = rows.len() as u32 == SCAN_ROWS;
+        let last_key = rows.last().map(|row| row.key.clone()).unwrap_or_default();
         for row in rows {
             let key = row.key.trim_start_matches(rows::ITEMS).to_owned();
             if let Ok(versioned) = serde_json::from_str::<Versioned>(&row.value) {
                 snapshot.items.insert(key, versioned);
             }
         }
-        if full {
-            self.phase = Phase::Items(snapshot);
-            return scan(rows::ITEMS, last);
+        if has_more {
+            self.phase = Phase::ReadingItems(snapshot);
+            return scan(rows::ITEMS, last_key);
         }
-        // Items may be newer than the head that was read before them. The
-        // changes since that head are fetched next and write the same again.
+        // Items may be newer than the head that was read before them. The changes since
+        // that head are fetched next; applying them again gives the same items.
         catalogue.replace(snapshot);
-        self.phase = Phase::Changes;
+        self.phase = Phase::ReadingChanges;
         scan(rows::CHANGES, rows::change_key(catalogue.revision()))
     }
 
-    fn confirm(&mut self, now_ms: UnixMs, catalogue: &Catalogue) {
-        if catalogue.revision() >= self.head {
+    /// Updates `confirmed_ms` if the catalogue has reached the revision of the head.
+    fn mark_if_current(&mut self, now_ms: UnixMs, catalogue: &Catalogue) {
+        if catalogue.revision() >= self.head_revision {
             self.confirmed_ms = now_ms;
         }
     }
--- a/crates/catalogue/tests/changes.rs
+++ b/crates/catalogue/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Changes under races, lost answers and stale peers.
+//! Tests of changes under races, lost responses and stale peers.
 
 use stoatwell_catalogue::Catalogue;
 use stoatwell_catalogue::CatalogueUpdate;
@@ -22,7 +22,7 @@
 use stoatwell_platform::StoreReply;
 use stoatwell_platform::Transaction;
 
-/// A table of one process, enough for single calls.
+/// In-memory table that handles one call at a time.
 #[derive(Default)]
 struct Table {
     rows: std::collections::BTreeMap<String, (u64, String)>,
@@ -41,7 +41,7 @@
                 StoreReply::Rows { rows: wanted.map(|key| self.row(key)).collect() }
             }
             StoreCall::Transact(transaction) => self.transact(transaction),
-            other => panic!("the catalogue does not ask {other:?}"),
+            other => panic!("unexpected call of the catalogue: {other:?}"),
         }
     }
 
@@ -93,32 +93,35 @@
     TargetChange::Start { owner: OwnerName::new(owner) }
 }
 
-/// Operators of both halves change the same target at the same moment, each
-/// from the revision they saw. One must win, and the other must learn by a
-/// number that the target has changed under their hands.
+/// Operators of two owners change the same target at the same time, each based on the
+/// revision that they read. One change must succeed. The other must fail with the code
+/// for a revision conflict.
 #[test]
-fn racing_operators_get_one_winner() {
+fn only_one_of_two_concurrent_changes_succeeds() {
     let mut table = Table::default();
-    let first = run(&mut table, target_request(start("nyaysetu"), Some(0), 1)).expect("it is new");
-    let (mut left, left_call) =
-        Edit::start(target_request(start("bluebonnet"), Some(first.revision), 2));
-    let (mut right, right_call) =
-        Edit::start(target_request(TargetChange::Retire, Some(first.revision), 3));
-    let EditStep::Call(left_commit) = left.on_reply(Ok(table.call(&left_call))) else {
-        panic!("a commit")
+    let created =
+        run(&mut table, target_request(start("nyaysetu"), Some(0), 1)).expect("a new target");
+    let (mut first, first_read) =
+        Edit::start(target_request(start("bluebonnet"), Some(created.revision), 2));
+    let (mut second, second_read) =
+        Edit::start(target_request(TargetChange::Retire, Some(created.revision), 3));
+    let EditStep::Call(first_commit) = first.on_reply(Ok(table.call(&first_read))) else {
+        panic!("expected a commit")
     };
-    let EditStep::Call(right_commit) = right.on_reply(Ok(table.call(&right_call))) else {
-        panic!("a commit")
+    let EditStep::Call(second_commit) = second.on_reply(Ok(table.call(&second_read))) else {
+        panic!("expected a commit")
     };
-    let EditStep::Done(won) = left.on_reply(Ok(table.call(&left_commit))) else {
-        panic!("committed")
+    let EditStep::Done(accepted) = first.on_reply(Ok(table.call(&first_commit))) else {
+        panic!("expected the result")
     };
-    assert_eq!(won.expect("first come").revision, 2);
-    let EditStep::Call(again) = right.on_reply(Ok(table.call(&right_commit))) else {
-        panic!("it reads again")
+    assert_eq!(accepted.expect("the first commit").revision, 2);
+    let EditStep::Call(reread) = second.on_reply(Ok(table.call(&second_commit))) else {
+        panic!("expected another read")
     };
-    let EditStep::Done(lost) = right.on_reply(Ok(table.call(&again))) else { panic!("it learns") };
-    let failure = lost.expect_err("the revision has moved");
+    let EditStep::Done(refused) = second.on_reply(Ok(table.call(&reread))) else {
+        panic!("expected the result")
+    };
+    let failure = refused.expect_err("the revision has changed");
     assert_eq!(failure.code, Code::RevisionConflict);
     assert!(
         failure.message.contains("revision 2") && failure.message.contains("not 1"),
@@ -126,101 +129,109 @@
     );
 }
 
-/// The store takes the change and its answer is lost. An operator who is told
-/// "failed" would make the change a second time.
+/// The store commits the change and its response is lost. If the operator got a failure,
+/// they would make the change a second time.
 #[test]
-fn lost_answer_is_told_by_reading() {
+fn lost_response_is_resolved_by_a_read() {
     let mut table = Table::default();
     let (mut edit, call) = Edit::start(target_request(start("nyaysetu"), None, 7));
-    let EditStep::Call(commit) = edit.on_reply(Ok(table.call(&call))) else { panic!("a commit") };
+    let EditStep::Call(commit) = edit.on_reply(Ok(table.call(&call))) else {
+        panic!("expected a commit")
+    };
     table.call(&commit);
     let EditStep::Call(read) = edit.on_reply(Err(CallError::NoAnswer("lost".to_owned()))) else {
-        panic!("it reads")
+        panic!("expected a read")
+    };
+    let EditStep::Done(result) = edit.on_reply(Ok(table.call(&read))) else {
+        panic!("expected the result")
     };
-    let EditStep::Done(result) = edit.on_reply(Ok(table.call(&read))) else { panic!("it knows") };
-    assert_eq!(result.expect("it took effect").revision, 1);
+    assert_eq!(result.expect("an accepted change").revision, 1);
 }
 
-/// The call never reached the store, and the read tells so: the change is made
-/// again and counts once.
+/// The commit never reached the store, which the read shows. The change is made again
+/// and must take effect once.
 #[test]
-fn unanswered_change_without_effect_is_made_again() {
+fn unanswered_commit_without_effect_is_repeated() {
     let mut table = Table::default();
     let (mut edit, call) = Edit::start(target_request(start("nyaysetu"), None, 7));
-    let EditStep::Call(_) = edit.on_reply(Ok(table.call(&call))) else { panic!("a commit") };
+    let EditStep::Call(_) = edit.on_reply(Ok(table.call(&call))) else {
+        panic!("expected a commit")
+    };
     let EditStep::Call(read) = edit.on_reply(Err(CallError::NoAnswer("cut".to_owned()))) else {
-        panic!("it reads")
+        panic!("expected a read")
     };
     let EditStep::Call(call) = edit.on_reply(Ok(table.call(&read))) else {
-        panic!("it starts over")
+        panic!("expected another read")
+    };
+    let EditStep::Call(commit) = edit.on_reply(Ok(table.call(&call))) else {
+        panic!("expected a commit")
     };
-    let EditStep::Call(commit) = edit.on_reply(Ok(table.call(&call))) else { panic!("a commit") };
     let EditStep::Done(result) = edit.on_reply(Ok(table.call(&commit))) else {
-        panic!("committed")
+        panic!("expected the result")
     };
-    assert_eq!(result.expect("accepted").revision, 1);
+    assert_eq!(result.expect("an accepted change").revision, 1);
 }
 
-/// A daemon that was cut off for long offers its old catalogue to one that is
-/// ahead. Taken over, an accepted change would revert.
+/// A daemon that was partitioned for a long time sends its old catalogue to a daemon with
+/// a newer one. Applying it would revert an accepted change.
 #[test]
-fn stale_peers_never_turn_the_catalogue_back() {
+fn stale_peer_never_reverts_the_catalogue() {
     let mut table = Table::default();
     let mut ahead = Catalogue::default();
     ahead.apply(run(&mut table, target_request(start("nyaysetu"), None, 1)).expect("accepted"));
-    let outdated = ahead.snapshot();
+    let stale = ahead.snapshot();
     ahead.apply(run(&mut table, target_request(TargetChange::Drain, None, 2)).expect("accepted"));
-    assert!(!ahead.merge(CatalogueUpdate::Snapshot(outdated)));
+    assert!(!ahead.merge(CatalogueUpdate::Snapshot(stale)));
     assert!(!ahead.merge(ahead.updates_since(2)));
     let state = ahead.target(&WorkerId::new("w1")).map(|target| target.state);
     assert_eq!((ahead.revision(), state), (2, Some(TargetState::Draining)));
 }
 
-/// A new daemon reads items while a change is being made; what it has in force
-/// must be one revision and not a mixture.
+/// A new daemon reads the items while a change is made. Its catalogue must then be that
+/// of one revision and not a mixture of two.
 #[test]
-fn new_daemon_reads_the_whole_and_then_the_changes() {
+fn new_daemon_reads_all_items_and_then_the_changes() {
     let mut table = Table::default();
     for (write_id, change) in [start("nyaysetu"), TargetChange::Drain].into_iter().enumerate() {
         run(&mut table, target_request(change, None, write_id as u64)).expect("accepted");
     }
     let mut catalogue = Catalogue::default();
-    let mut follow = CatalogueWatcher::new(1_000);
-    let mut call = follow.due(0);
+    let mut watcher = CatalogueWatcher::new(1_000);
+    let mut call = watcher.due(0);
     let mut calls = 0;
     while let Some(next) = call {
         calls += 1;
         if calls == 2 {
             run(&mut table, target_request(start("bluebonnet"), None, 9)).expect("accepted");
         }
-        let StoreReply::Rows { rows } = table.call(&next) else { panic!("rows") };
-        call = follow.on_rows(0, &mut catalogue, Some(rows));
+        let StoreReply::Rows { rows } = table.call(&next) else { panic!("expected rows") };
+        call = watcher.on_rows(0, &mut catalogue, Some(rows));
     }
     assert_eq!(catalogue.revision(), 3);
-    let target = catalogue.target(&WorkerId::new("w1")).expect("it is there");
+    let target = catalogue.target(&WorkerId::new("w1")).expect("the target");
     assert_eq!(target.next_owner, Some(OwnerName::new("bluebonnet")));
-    assert_eq!(follow.due(500), None, "the next poll is not due yet");
+    assert_eq!(watcher.due(500), None, "the next poll is not due yet");
 }
 
-/// A target changes hands: at every step exactly one owner may start work on
-/// it, and the epoch tells the steps apart.
+/// A target passes from one owner to another. In no state may both owners start work on
+/// it, and the epoch distinguishes the states.
 #[test]
-fn target_changes_hands_step_by_step() {
+fn target_passes_to_another_owner_step_by_step() {
     let worker = WorkerId::new("w1");
     let (old, new) = (OwnerName::new("nyaysetu"), OwnerName::new("bluebonnet"));
-    let serving = Target::transition(None, &worker, &start("nyaysetu")).expect("new targets start");
+    let serving = Target::transition(None, &worker, &start("nyaysetu")).expect("a new target");
     assert!(serving.serves(&old) && !serving.serves(&new));
-    let draining =
-        Target::transition(Some(&serving), &worker, &start("bluebonnet")).expect("it drains first");
+    let draining = Target::transition(Some(&serving), &worker, &start("bluebonnet"))
+        .expect("a draining target");
     assert!(!draining.serves(&old) && !draining.serves(&new));
-    let handed =
-        Target::transition(Some(&draining), &worker, &TargetChange::Emptied).expect("it is empty");
-    assert!(handed.serves(&new) && !handed.serves(&old));
-    assert_eq!([serving.epoch, draining.epoch, handed.epoch], [1, 2, 3]);
+    let handed_over = Target::transition(Some(&draining), &worker, &TargetChange::Emptied)
+        .expect("a target of the new owner");
+    assert!(handed_over.serves(&new) && !handed_over.serves(&old));
+    assert_eq!([serving.epoch, draining.epoch, handed_over.epoch], [1, 2, 3]);
     assert_eq!(Target::transition(Some(&serving), &worker, &TargetChange::Emptied), None);
     assert_eq!(Target::transition(None, &worker, &TargetChange::Drain), None);
-    let kept = Target::transition(Some(&draining), &worker, &start("nyaysetu"))
-        .expect("the old owner takes it back");
-    assert!(kept.serves(&old), "a change of mind before it is empty needs no second hand-over");
-    assert!(matches!(Item::Target(kept), Item::Target(_)));
+    let reverted = Target::transition(Some(&draining), &worker, &start("nyaysetu"))
+        .expect("a target of the old owner");
+    assert!(reverted.serves(&old), "the old owner can cancel the hand-over while it drains");
+    assert!(matches!(Item::Target(reverted), Item::Target(_)));
 }
