--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,4 +1,4 @@
-//! The table of settings: paths, bounds, defaults and meanings.
+//! Schema of the settings: paths, bounds, defaults and meanings.
 
 use stoatwell_model::code::Problem;
 use stoatwell_schema::Field;
@@ -8,7 +8,7 @@
 
 const DAY_MS: u64 = 24 * 60 * 60 * 1_000;
 
-/// Every setting.
+/// Schema of all settings.
 pub const FIELDS: &[Field] = &[
     Field::required("daemon.name", Kind::Name, "the daemon's name, unique in the cell"),
     Field::required("daemon.zone", Kind::Name, "the availability zone it stands in"),
@@ -231,10 +231,10 @@
 
 const PEER_KEY_BYTES_MIN: usize = 16;
 
-/// Mistakes that only two fields together make.
-pub(crate) fn disagreements(settings: &Settings) -> Vec<Problem> {
+/// Checks combinations of fields that are valid individually.
+pub(crate) fn inconsistencies(settings: &Settings) -> Vec<Problem> {
     let mut problems = Vec::new();
-    let mut tell = |path: &str, value: String, expected: &str, hint: &str| {
+    let mut report = |path: &str, value: String, expected: &str, hint: &str| {
         problems.push(Problem {
             path: format!("$.{path}"),
             value,
@@ -243,10 +243,10 @@
         });
     };
     let leases = &settings.leases;
-    // A renewal that waits too long lets the lease lapse while the answer is
-    // on its way; the worker would then refuse starts from its own holder.
+    // If a renewal waits too long, the lease expires while the response is in flight,
+    // and the worker refuses starts from its own holder.
     if leases.renew_wait_ms * 3 > leases.ttl_ms {
-        tell(
+        report(
             "leases.renew_wait_ms",
             leases.renew_wait_ms.to_string(),
             "at most a third of leases.ttl_ms",
@@ -255,7 +255,7 @@
     }
     let membership = &settings.membership;
     if membership.heartbeat_ms * 3 > membership.silent_after_ms {
-        tell(
+        report(
             "membership.silent_after_ms",
             membership.silent_after_ms.to_string(),
             "at least three times membership.heartbeat_ms",
@@ -263,16 +263,16 @@
         );
     }
     if settings.security.peer_key.len() < PEER_KEY_BYTES_MIN {
-        tell(
+        report(
             "security.peer_key",
             "(hidden)".to_owned(),
             "16 bytes or more",
             "use a long random text, the same on every daemon",
         );
     }
-    let listen = settings.listen.http_address.ip();
-    if settings.security.open_access && !listen.is_loopback() {
-        tell(
+    let http_ip = settings.listen.http_address.ip();
+    if settings.security.open_access && !http_ip.is_loopback() {
+        report(
             "security.open_access",
             "true".to_owned(),
             "false, unless listen.http_address is on loopback",
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The settings of a daemon and the checks that every JSON document passes first.
+//! Settings of a daemon.
 //!
-//! [`parse`] finds all mistakes before anything starts. The table in
-//! [`fields`] is the one source of defaults, bounds and the documented page.
+//! [`parse`] reports all errors before anything starts. The schema in [`fields`] is the
+//! single source of defaults, bounds and the documentation.
 
 mod fields;
 
@@ -17,191 +17,191 @@
 
 pub use fields::FIELDS;
 
-/// Everything that a daemon is told.
+/// All settings of a daemon, after defaults are filled in.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settings {
-    /// Who the daemon is.
+    /// Name and location of the daemon.
     pub daemon: DaemonSettings,
-    /// Where it listens.
+    /// Addresses on which the daemon listens.
     pub listen: Listen,
-    /// How it reaches the platform.
+    /// Addresses and timeouts of the platform.
     pub platform: PlatformSettings,
-    /// Who may act.
+    /// Authentication of callers, operators and peers.
     pub security: Security,
     /// Leases on workers.
     pub leases: Leases,
-    /// Signs of life.
+    /// Heartbeats between daemons.
     pub membership: Membership,
-    /// Records of jobs.
+    /// Durable records of jobs.
     pub ledger: Ledger,
-    /// Following the catalogue.
+    /// Polling of the catalogue.
     pub catalogue: CatalogueSettings,
-    /// Queues.
+    /// Limits of queues.
     pub queue: Queue,
-    /// Requests to minions.
+    /// Routing of requests to minions.
     pub routing: Routing,
-    /// The HTTP interface.
+    /// Limits of the HTTP interface.
     pub http: Http,
-    /// Logs.
+    /// Log output.
     pub log: Log,
-    /// Planned stops.
+    /// Graceful shutdown.
     pub stop: Stop,
 }
 
-/// Who the daemon is.
+/// Name and location of the daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DaemonSettings {
-    /// Its name.
+    /// Name, unique in the cell.
     pub name: DaemonId,
-    /// Its availability zone.
+    /// Availability zone in which it runs.
     pub zone: ZoneName,
-    /// Its region.
+    /// Region of that zone.
     pub region: RegionName,
 }
 
-/// Where the daemon listens.
+/// Addresses on which the daemon listens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listen {
-    /// For callers and operators.
+    /// Address for callers and operators; port 0 selects a free port.
     pub http_address: SocketAddr,
-    /// For other daemons.
+    /// Address for other daemons; port 0 selects a free port.
     pub peer_address: SocketAddr,
 }
 
-/// How the daemon reaches the platform.
+/// Addresses and timeouts of the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformSettings {
-    /// The table, the object store and the instance list.
+    /// Address of the table, the object store and the instance list.
     pub store_address: SocketAddr,
-    /// Time limit of a call to them.
+    /// Timeout of a call to the store.
     pub store_timeout_ms: u64,
-    /// Time limit of a call to a worker.
+    /// Timeout of a call to a worker, beyond the time that the call asks it to wait.
     pub worker_timeout_ms: u64,
-    /// How often the instance list is read.
+    /// Interval between reads of the instance list.
     pub instances_interval_ms: u64,
 }
 
-/// Who may act.
+/// Authentication of callers, operators and peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Security {
-    /// Whether everybody may do everything.
+    /// Whether all callers have all permissions; for loopback only.
     pub open_access: bool,
-    /// Hashes of operators' tokens.
+    /// SHA-256 of each operator's bearer token, in hexadecimal.
     pub operator_token_sha256: Vec<String>,
-    /// Key that daemons share.
+    /// Secret of 16 bytes or more that all daemons share.
     pub peer_key: String,
 }
 
 /// Leases on workers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leases {
-    /// How long one runs.
+    /// Duration of a lease.
     pub ttl_ms: u64,
-    /// How long a renewal waits for news.
+    /// How long a renewal waits at the worker for changes.
     pub renew_wait_ms: u64,
-    /// Workers given up to a better placed daemon, a second.
+    /// Maximum number of workers per second to hand over to better placed daemons.
     pub moves_per_second: u64,
-    /// How long exclusive work goes on when nobody holds its worker.
+    /// How long exclusive work continues while no daemon holds its worker.
     pub orphan_ms: u64,
 }
 
-/// Signs of life between daemons.
+/// Heartbeats between daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Between heartbeats inside a zone.
+    /// Interval between heartbeats within a zone.
     pub heartbeat_ms: u64,
-    /// Between heartbeats of the relays of different zones.
+    /// Interval between heartbeats of the relays of different zones.
     pub relay_ms: u64,
-    /// Silence after which a daemon counts as dead.
+    /// Time without a heartbeat after which a daemon counts as dead.
     pub silent_after_ms: u64,
-    /// Time limit of a call to a peer.
+    /// Timeout of a call to another daemon.
     pub peer_timeout_ms: u64,
 }
 
-/// Records of jobs.
+/// Durable records of jobs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// Rows in one transaction.
+    /// Maximum number of rows in one transaction.
     pub rows_per_commit: u64,
-    /// Transactions a second.
+    /// Maximum number of transactions per second from this daemon.
     pub commits_per_second: u64,
-    /// How long records of finished jobs stay.
+    /// How long records of finished jobs are kept.
     pub retention_ms: u64,
-    /// Between looks for jobs that nobody runs.
+    /// Interval between scans for jobs without a live coordinator.
     pub sweep_ms: u64,
-    /// Largest body kept in the table.
+    /// Maximum size of a body in the table; larger ones go to the object store.
     pub inline_body_bytes: u64,
     /// How long a submission waits for its durable record.
     pub accept_timeout_ms: u64,
 }
 
-/// Following the catalogue.
+/// Polling of the catalogue.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogueSettings {
-    /// Between reads of its head.
+    /// Interval between reads of the catalogue's head.
     pub poll_ms: u64,
 }
 
-/// Queues.
+/// Limits of queues.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Queue {
-    /// Jobs that are not finished, at one daemon.
+    /// Maximum number of unfinished jobs at one daemon.
     pub jobs: u64,
-    /// Requests in work or waiting, at one daemon.
+    /// Maximum number of requests in progress or waiting at one daemon.
     pub requests: u64,
-    /// How long a gang's reservation keeps others away.
+    /// How long freed capacity is reserved for a waiting gang.
     pub gang_reserve_ms: u64,
 }
 
-/// Requests to minions.
+/// Routing of requests to minions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Routing {
-    /// Time limit of a request without a deadline.
+    /// Timeout of a request without a deadline.
     pub request_timeout_ms: u64,
-    /// Retries for each thousand first tries.
+    /// Retries allowed per thousand first attempts.
     pub retry_permille: u64,
-    /// Failures in a row after which a minion is left alone.
+    /// Consecutive failures that open the circuit breaker of a minion.
     pub breaker_failures: u64,
-    /// How long it is left alone.
+    /// How long the circuit breaker of a minion stays open.
     pub breaker_open_ms: u64,
 }
 
-/// The HTTP interface.
+/// Limits of the HTTP interface.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Http {
-    /// Largest body.
+    /// Maximum size of a request's body.
     pub body_bytes_max: u64,
-    /// Longest wait in a long poll.
+    /// Maximum waiting time of a long poll.
     pub wait_max_ms: u64,
 }
 
-/// Logs.
+/// Log output.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Log {
-    /// How lines are written.
+    /// Format of the lines.
     pub format: LogFormat,
-    /// Least level written.
+    /// Lowest level to log: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: String,
 }
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// For people.
+    /// Plain text for people.
     Text,
 }
 
-/// Planned stops.
+/// Graceful shutdown.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stop {
-    /// Longest time from the signal to the exit.
+    /// Maximum time from the signal to the exit of the process.
     pub grace_ms: u64,
 }
 
-/// Reads settings from JSON text, or says all that is wrong with it.
+/// Parses settings from JSON, or returns all errors in it.
 pub fn parse(text: &str) -> Result<Settings, Failure> {
     let document = serde_json::from_str(text)
         .map_err(|error| Failure::with_detail(Code::InvalidSettings, error))?;
@@ -209,20 +209,20 @@
         .map_err(|problems| Failure::new(Code::InvalidSettings).with_problems(problems))?;
     let settings: Settings = serde_json::from_value(checked)
         .map_err(|error| Failure::with_detail(Code::InvalidSettings, error))?;
-    let problems = fields::disagreements(&settings);
+    let problems = fields::inconsistencies(&settings);
     if !problems.is_empty() {
         return Err(Failure::new(Code::InvalidSettings).with_problems(problems));
     }
     Ok(settings)
 }
 
-/// The settings that `given` fields and the defaults make, as pretty JSON.
+/// Returns the settings of [`example`] with all defaults, as pretty-printed JSON.
 pub fn defaults() -> String {
     let settings = example("daemon-1");
     serde_json::to_string_pretty(&settings).unwrap_or_default()
 }
 
-/// Default settings for a daemon of this name on loopback, open to everybody.
+/// Returns default settings for a daemon with this name on loopback, with open access.
 pub fn example(name: &str) -> Settings {
     let text = serde_json::json!({
         "daemon": { "name": name, "zone": "zone-a", "region": "region-1" },
@@ -235,7 +235,7 @@
     }
 }
 
-/// The page that documents every field.
+/// Renders all settings as a Markdown table for the documentation.
 pub fn markdown_table() -> String {
     stoatwell_schema::markdown_table(FIELDS)
 }
