--- a/crates/catalogue/src/document.rs
+++ b/crates/catalogue/src/document.rs
@@ -168,7 +168,7 @@
         match parse_entry(entry) {
             Ok(item) => items.push(item),
             Err(found) => {
-                problems.extend(found.into_iter().map(|problem| prefix_path(index, problem)))
+                problems.extend(found.into_iter().map(|problem| prefix_path(index, problem)));
             }
         }
     }
--- a/crates/catalogue/tests/changes.rs
+++ b/crates/catalogue/tests/changes.rs
@@ -179,9 +179,9 @@
     let mut table = Table::default();
     let mut ahead = Catalogue::default();
     ahead.apply(run(&mut table, target_request(start("nyaysetu"), None, 1)).expect("accepted"));
-    let stale = ahead.snapshot();
+    let outdated = ahead.snapshot();
     ahead.apply(run(&mut table, target_request(TargetChange::Drain, None, 2)).expect("accepted"));
-    assert!(!ahead.merge(CatalogueUpdate::Snapshot(stale)));
+    assert!(!ahead.merge(CatalogueUpdate::Snapshot(outdated)));
     assert!(!ahead.merge(ahead.updates_since(2)));
     let state = ahead.target(&WorkerId::new("w1")).map(|target| target.state);
     assert_eq!((ahead.revision(), state), (2, Some(TargetState::Draining)));
--- a/crates/ledger/src/machine/gang.rs
+++ b/crates/ledger/src/machine/gang.rs
@@ -59,7 +59,7 @@
         for index in 0..self.tasks.len() {
             match self.tasks[index].phase {
                 Phase::Waiting if has_failed_task => {
-                    self.tasks[index].phase = Phase::Failed(Code::TaskFailed)
+                    self.tasks[index].phase = Phase::Failed(Code::TaskFailed);
                 }
                 Phase::Done if !has_failed_task => {
                     self.remove_intent(self.attempt(index));
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -41,7 +41,7 @@
     local: Identity,
     silent_after_ms: u64,
     started_ms: UnixMs,
-    members: BTreeMap<DaemonId, Member>,
+    daemons: BTreeMap<DaemonId, Member>,
 }
 
 impl Members {
@@ -49,14 +49,14 @@
     ///
     /// A daemon counts as dead after `silent_after_ms` without a heartbeat.
     pub fn new(local: Identity, silent_after_ms: u64, now_ms: UnixMs) -> Self {
-        Self { local, silent_after_ms, started_ms: now_ms, members: BTreeMap::new() }
+        Self { local, silent_after_ms, started_ms: now_ms, daemons: BTreeMap::new() }
     }
 
     /// Updates the members from the platform's instance list.
     ///
     /// Adds new daemons and removes those that are neither listed nor live.
     pub fn update_instances(&mut self, now_ms: UnixMs, listed: &[Identity]) {
-        for member in self.members.values_mut() {
+        for member in self.daemons.values_mut() {
             member.listed = false;
         }
         for identity in listed {
@@ -64,7 +64,7 @@
                 continue;
             }
             let member =
-                self.members.entry(identity.daemon.clone()).or_insert_with(|| new_member(identity));
+                self.daemons.entry(identity.daemon.clone()).or_insert_with(|| new_member(identity));
             member.listed = true;
             // The list does not contain incarnations, so the identity from a heartbeat
             // takes precedence.
@@ -73,7 +73,7 @@
             }
         }
         let silent_after_ms = self.silent_after_ms;
-        self.members.retain(|_, member| {
+        self.daemons.retain(|_, member| {
             member.listed || now_ms < member.last_heartbeat_ms + silent_after_ms
         });
     }
@@ -84,7 +84,7 @@
             return;
         }
         let member = self
-            .members
+            .daemons
             .entry(heartbeat.from.daemon.clone())
             .or_insert_with(|| new_member(&heartbeat.from));
         if heartbeat.from.incarnation < member.identity.incarnation {
@@ -102,7 +102,7 @@
     /// Whether a daemon is this one or sent a heartbeat recently.
     pub fn is_live(&self, now_ms: UnixMs, daemon: &DaemonId) -> bool {
         *daemon == self.local.daemon
-            || self.members.get(daemon).is_some_and(|member| self.is_member_live(now_ms, member))
+            || self.daemons.get(daemon).is_some_and(|member| self.is_member_live(now_ms, member))
     }
 
     /// Daemons of this zone that may hold workers: live and not shutting down.
@@ -110,7 +110,7 @@
     /// `stopping` tells whether this daemon itself is shutting down.
     pub fn holders(&self, now_ms: UnixMs, stopping: bool) -> Vec<DaemonId> {
         let mut holders = Vec::new();
-        for member in self.members.values() {
+        for member in self.daemons.values() {
             let same_zone = member.identity.zone == self.local.zone;
             if same_zone && !member.stopping && self.is_member_live(now_ms, member) {
                 holders.push(member.identity.daemon.clone());
@@ -124,24 +124,24 @@
 
     /// Other daemons of a zone that sent a heartbeat recently.
     pub fn live_in_zone(&self, now_ms: UnixMs, zone: &ZoneName) -> impl Iterator<Item = &Member> {
-        self.members.values().filter(move |member| {
+        self.daemons.values().filter(move |member| {
             member.identity.zone == *zone && self.is_member_live(now_ms, member)
         })
     }
 
     /// Other daemons of any zone that sent a heartbeat recently.
     pub fn live(&self, now_ms: UnixMs) -> impl Iterator<Item = &Member> {
-        self.members.values().filter(move |member| self.is_member_live(now_ms, member))
+        self.daemons.values().filter(move |member| self.is_member_live(now_ms, member))
     }
 
     /// All known daemons, live or not.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
-        self.members.values()
+        self.daemons.values()
     }
 
     /// State of a daemon; `None` if it is unknown or this daemon itself.
     pub fn get(&self, daemon: &DaemonId) -> Option<&Member> {
-        self.members.get(daemon)
+        self.daemons.get(daemon)
     }
 
     /// Whether this daemon is the relay of its zone.
@@ -153,7 +153,7 @@
     /// Known daemons of every other zone, live or not, by zone.
     pub fn other_zones(&self) -> BTreeMap<&ZoneName, Vec<&DaemonId>> {
         let mut zones: BTreeMap<&ZoneName, Vec<&DaemonId>> = BTreeMap::new();
-        for member in self.members.values() {
+        for member in self.daemons.values() {
             if member.identity.zone != self.local.zone {
                 zones.entry(&member.identity.zone).or_default().push(&member.identity.daemon);
             }
