--- a/crates/catalogue/src/edit.rs
+++ b/crates/catalogue/src/edit.rs
@@ -25,7 +25,7 @@
 use crate::Versioned;
 use crate::rows;
 
-/// Number of attempts before the change fails.
+/// Number of attempts after which the change fails.
 const ATTEMPTS_MAX: u32 = 12;
 
 /// Requested change of one item.
--- a/crates/ledger/src/machine/mod.rs
+++ b/crates/ledger/src/machine/mod.rs
@@ -68,7 +68,7 @@
     worker: Option<WorkerId>,
 }
 
-/// Action that the owner of the [`JobMachine`] must carry out.
+/// Action that the caller of the [`JobMachine`] must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobEffect {
     /// Put these attempts into the scheduler's queue.
