--- a/crates/engine/src/peers.rs
+++ b/crates/engine/src/peers.rs
@@ -6,8 +6,8 @@
 
 use std::collections::HashMap;
 
-use stoatwell_catalogue::News;
-use stoatwell_membership::assign;
+use stoatwell_catalogue::CatalogueUpdate;
+use stoatwell_membership::rendezvous;
 use stoatwell_model::DaemonId;
 use stoatwell_model::OwnerName;
 use stoatwell_model::Resources;
@@ -173,11 +173,11 @@
                 PeerReply::Heartbeat { beat, news }
             }
             PeerCall::CatalogueSince { revision } => {
-                PeerReply::News(self.catalogue.since(revision))
+                PeerReply::News(self.catalogue.updates_since(revision))
             }
             PeerCall::Changed { revision } => {
                 if revision > self.catalogue.revision() {
-                    self.follow.hurry();
+                    self.follow.poll_now();
                     self.poll_catalogue();
                 }
                 PeerReply::Noted
@@ -234,8 +234,8 @@
         }
     }
 
-    fn on_catalogue_news(&mut self, news: News) {
-        if self.catalogue.take(news) {
+    fn on_catalogue_news(&mut self, news: CatalogueUpdate) {
+        if self.catalogue.merge(news) {
             self.tell_zone_of_change();
         }
     }
@@ -287,7 +287,7 @@
                 InstanceKind::Entry => {}
             }
         }
-        self.members.on_list(self.now_ms, &daemons);
+        self.members.update_instances(self.now_ms, &daemons);
         let list_bytes = (daemons.len() + zones.len()) as u64 * INSTANCE_ENTRY_BYTES;
         let min_interval_ms = list_bytes * 1_000 / LIST_BYTES_PER_SECOND_MAX;
         self.next_list_ms = self.next_list_ms.max(self.now_ms + min_interval_ms);
@@ -297,7 +297,7 @@
         }
         self.worker_zones = zones;
         self.record_missing_workers(all_zones);
-        self.holdings.on_list(workers);
+        self.holdings.update_workers(workers);
     }
 
     /// The address at which peers reach a daemon; `None` if it isn't known.
@@ -315,7 +315,7 @@
 
     /// Other daemons of this zone that sent a heartbeat recently.
     pub(crate) fn zone_peers(&self) -> Vec<DaemonId> {
-        let live = self.members.live_in(self.now_ms, &self.me.zone);
+        let live = self.members.live_in_zone(self.now_ms, &self.me.zone);
         live.map(|member| member.identity.daemon.clone()).collect()
     }
 
@@ -331,7 +331,7 @@
     /// Whether a daemon was known to be alive and no longer is. A daemon that was never
     /// heard of may just be new.
     pub(crate) fn is_silent(&self, daemon: &DaemonId) -> bool {
-        let heard = self.members.get(daemon).is_some_and(|member| member.heard_ms > 0);
+        let heard = self.members.get(daemon).is_some_and(|member| member.last_heartbeat_ms > 0);
         let reported = self
             .zones
             .values()
@@ -364,7 +364,7 @@
                 .iter()
                 .any(|found| found.owner == *owner && found.largest_free.holds(need))
         };
-        let same_zone = self.members.live_in(self.now_ms, &self.me.zone);
+        let same_zone = self.members.live_in_zone(self.now_ms, &self.me.zone);
         let same_zone =
             same_zone.filter(|member| !member.stopping && has_capacity(&member.summary));
         // The least loaded of the candidates; a summary is seconds old at most.
@@ -387,7 +387,7 @@
             let found = summary.groups.iter().find(|found| found.group == group);
             found.map_or(0, |found| found.free_slots)
         };
-        let same_zone = self.members.live_in(self.now_ms, &self.me.zone);
+        let same_zone = self.members.live_in_zone(self.now_ms, &self.me.zone);
         let same_zone = same_zone.filter(|member| !member.stopping && free(&member.summary) > 0);
         if let Some(member) = same_zone.max_by_key(|member| free(&member.summary)) {
             return Some(member.identity.daemon.clone());
@@ -425,7 +425,7 @@
         });
         let state = zones.first()?;
         let daemons = state.news.daemons.iter().map(|found| &found.daemon);
-        assign::winner(self.me.daemon.as_str(), daemons).cloned()
+        rendezvous::select(self.me.daemon.as_str(), daemons).cloned()
     }
 }
 
--- a/crates/engine/src/remote.rs
+++ b/crates/engine/src/remote.rs
@@ -181,7 +181,7 @@
                 .iter()
                 .any(|found| found.owner == waiting.owner && found.largest_free.holds(&demand))
         };
-        let same_zone = self.members.live_in(self.now_ms, &self.me.zone);
+        let same_zone = self.members.live_in_zone(self.now_ms, &self.me.zone);
         let same_zone =
             same_zone.filter(|member| !member.stopping && has_capacity(&member.summary.owners));
         let candidates: Vec<&DaemonId> = same_zone.map(|member| &member.identity.daemon).collect();
--- a/crates/engine/src/sweep.rs
+++ b/crates/engine/src/sweep.rs
@@ -8,7 +8,7 @@
 use stoatwell_ledger::JobMachine;
 use stoatwell_ledger::Write;
 use stoatwell_ledger::rows;
-use stoatwell_membership::assign;
+use stoatwell_membership::rendezvous;
 use stoatwell_model::AttemptId;
 use stoatwell_model::JobId;
 use stoatwell_model::JobRecord;
@@ -80,7 +80,7 @@
 impl Engine {
     pub(crate) fn sweep_tick(&mut self) {
         let now_ms = self.now_ms;
-        if self.stopping || !self.is_ready() || !self.members.is_settled(now_ms) {
+        if self.stopping || !self.is_ready() || !self.members.is_warmed_up(now_ms) {
             return;
         }
         self.read_claims();
@@ -106,7 +106,7 @@
         if self.sweep.zone.as_ref() != Some(&zone) {
             self.sweep.cursor.clear();
         }
-        let prefix = rows::open_in(&zone);
+        let prefix = rows::open_prefix(&zone);
         self.sweep.zone = Some(zone);
         self.sweep.scanning = true;
         let after = self.sweep.cursor.clone();
@@ -127,7 +127,7 @@
         let is_dead = |zone: &&ZoneName| {
             let heard_ms = self.zones.get(*zone).map_or(0, |state| state.heard_ms);
             let silent = now_ms >= heard_ms + ZONE_DEAD_MS;
-            silent && self.members.live_in(now_ms, zone).next().is_none()
+            silent && self.members.live_in_zone(now_ms, zone).next().is_none()
         };
         // Every second scan is of a dead zone, if there is one.
         let is_even_sweep = (now_ms / self.settings.ledger.sweep_ms.max(1)).is_multiple_of(2);
@@ -159,7 +159,7 @@
             // A row that names this daemon but an unknown job is from before its restart.
             let is_abandoned = if is_own { !runs_here } else { !self.is_live(&open.coordinator) };
             let is_assigned = in_other_zone
-                || assign::winner(&open.job.to_string(), &holders) == Some(&self.me.daemon);
+                || rendezvous::select(&open.job.to_string(), &holders) == Some(&self.me.daemon);
             // A job that runs here although its row names another daemon was taken over
             // by that one.
             let taken_over = runs_here && !is_own;
@@ -178,7 +178,7 @@
             self.sweep.claims.remove(job);
         }
         self.sweep.reading = true;
-        let keys = jobs.into_iter().map(rows::job).collect();
+        let keys = jobs.into_iter().map(rows::job_key).collect();
         self.call_store(StoreOp::SweepRead, StoreCall::Read { keys });
     }
 
@@ -219,7 +219,7 @@
         let object = record.body_object.clone();
         let mut machine = JobMachine::new(record, row.version, attempts_max);
         let former = machine.record.coordinator.clone();
-        machine.hand_to(&self.me.daemon, &self.me.zone);
+        machine.reassign(&self.me.daemon, &self.me.zone);
         machine.note(format!("taken over from daemon {former}"));
         let mut job = Job::new(machine, body);
         // The new holders of the dead daemon's workers need this long to learn what
@@ -274,7 +274,7 @@
             return;
         }
         let jobs: Vec<JobId> = jobs.into_iter().take(TAKEOVER_BATCH).collect();
-        let keys = jobs.iter().map(|job| rows::job(*job)).collect();
+        let keys = jobs.iter().map(|job| rows::job_key(*job)).collect();
         self.call_store(StoreOp::SweepOrphans(jobs), StoreCall::Read { keys });
     }
 
@@ -332,7 +332,7 @@
             return;
         };
         let kept_from =
-            rows::done_from(self.now_ms.saturating_sub(self.settings.ledger.retention_ms));
+            rows::first_done_key(self.now_ms.saturating_sub(self.settings.ledger.retention_ms));
         let mut deletes = Vec::new();
         for row in &found {
             // The key holds the hour in which the job finished; the retention time must be
@@ -341,8 +341,8 @@
                 break;
             }
             deletes.push(row.key.clone());
-            if let Some(job) = rows::job_of_done(&row.key) {
-                deletes.push(rows::job(job));
+            if let Some(job) = rows::job_of_done_key(&row.key) {
+                deletes.push(rows::job_key(job));
                 let key = format!("body/{job}");
                 self.call_store(StoreOp::RemoveBody, StoreCall::DeleteObject { key });
             }
@@ -354,7 +354,7 @@
         self.sweep.next_removal_ms = self.now_ms;
         let write_id = self.next_write_id();
         let write =
-            Write { checks: Vec::new(), puts: Vec::new(), deletes, write_id, give_up_ms: None };
+            Write { checks: Vec::new(), puts: Vec::new(), deletes, write_id, expires_ms: None };
         self.committer.submit(write_id, write);
     }
 
--- a/crates/engine/src/worker_leases.rs
+++ b/crates/engine/src/worker_leases.rs
@@ -7,8 +7,8 @@
 
 use std::collections::BTreeMap;
 
-use stoatwell_membership::HoldAction;
-use stoatwell_membership::HoldEvent;
+use stoatwell_membership::LeaseAction;
+use stoatwell_membership::LeaseEvent;
 use stoatwell_model::AttemptId;
 use stoatwell_model::Class;
 use stoatwell_model::Execution;
@@ -52,7 +52,7 @@
             return;
         }
         self.leases_checked_ms = self.now_ms;
-        for worker in self.holdings.lapsed(self.now_ms) {
+        for worker in self.holdings.expired(self.now_ms) {
             self.holdings.drop_lease(&worker);
             self.remove_held_worker(&worker);
         }
@@ -78,14 +78,14 @@
         }
     }
 
-    fn send_lease_call(&mut self, action: HoldAction) {
+    fn send_lease_call(&mut self, action: LeaseAction) {
         let ttl_ms = self.holdings.ttl_ms();
         match action {
-            HoldAction::Acquire { worker, token } => {
+            LeaseAction::Acquire { worker, token } => {
                 let call = WorkerCall::Acquire { holder: self.me.daemon.clone(), token, ttl_ms };
                 self.call_worker(WorkerOp::Lease(worker.clone(), Vec::new()), &worker, call);
             }
-            HoldAction::Renew { worker, token, since } => {
+            LeaseAction::Renew { worker, token, since } => {
                 let acknowledged =
                     self.held.get(&worker).map(|held| held.acks.clone()).unwrap_or_default();
                 let call = WorkerCall::Renew {
@@ -97,7 +97,7 @@
                 };
                 self.call_worker(WorkerOp::Lease(worker.clone(), acknowledged), &worker, call);
             }
-            HoldAction::Release { worker, token } => {
+            LeaseAction::Release { worker, token } => {
                 // Whatever the reply, nothing is placed on it from now on.
                 self.remove_held_worker(&worker);
                 let call = WorkerCall::Release { token };
@@ -132,10 +132,10 @@
     ) {
         let event = self.holdings.on_reply(self.now_ms, worker, reply.as_ref());
         match (event, reply) {
-            (HoldEvent::Gained, Some(WorkerReply::Granted { state, .. })) => {
+            (LeaseEvent::Acquired, Some(WorkerReply::Granted { state, .. })) => {
                 self.on_lease_gained(&state);
             }
-            (HoldEvent::Renewed, Some(WorkerReply::Renewed { changes, minions, foreign, .. })) => {
+            (LeaseEvent::Renewed, Some(WorkerReply::Renewed { changes, minions, foreign, .. })) => {
                 self.minions.update(&minions);
                 self.update_foreign_usage(worker, foreign);
                 if let Some(held) = self.held.get_mut(worker) {
@@ -150,7 +150,7 @@
                     }
                 }
             }
-            (HoldEvent::Lost, _) => self.remove_held_worker(worker),
+            (LeaseEvent::Lost, _) => self.remove_held_worker(worker),
             _ => {}
         }
     }
@@ -381,7 +381,7 @@
             }
             Ok(WorkerReply::NotHolder { token, .. }) => {
                 // Only the next holder can tell whether an earlier copy of the start took effect.
-                if self.holdings.on_fenced(worker, token) == HoldEvent::Lost {
+                if self.holdings.on_fenced(worker, token) == LeaseEvent::Lost {
                     self.remove_held_worker(worker);
                 }
             }
@@ -436,7 +436,7 @@
         match reply {
             Ok(WorkerReply::Stopped) => {}
             Ok(WorkerReply::NotHolder { token, .. }) => {
-                if self.holdings.on_fenced(worker, token) == HoldEvent::Lost {
+                if self.holdings.on_fenced(worker, token) == LeaseEvent::Lost {
                     self.remove_held_worker(worker);
                 }
             }
--- a/crates/engine/src/zone_relay.rs
+++ b/crates/engine/src/zone_relay.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-use stoatwell_membership::assign;
 use stoatwell_membership::members::RELAY_KEY;
+use stoatwell_membership::rendezvous;
 use stoatwell_model::DaemonId;
 use stoatwell_model::ZoneName;
 use stoatwell_model::peer::OwnerSummary;
@@ -72,7 +72,7 @@
             let recent_state =
                 self.zones.get(zone).filter(|state| self.now_ms < state.heard_ms + max_age_ms);
             let reported_daemons = recent_state.into_iter().flat_map(|state| &state.news.daemons);
-            let relay = assign::winner(RELAY_KEY, reported_daemons.map(|found| &found.daemon));
+            let relay = rendezvous::select(RELAY_KEY, reported_daemons.map(|found| &found.daemon));
             let relay = relay.or_else(|| listed.get(rotation % listed.len()).copied());
             relays.extend(relay.map(|daemon| (zone.clone(), daemon.clone())));
         }
@@ -84,7 +84,7 @@
         let mut summary = self.summary();
         let mut daemons = vec![self.me.clone()];
         let mut revision = self.catalogue.revision();
-        for member in self.members.live_in(self.now_ms, &self.me.zone) {
+        for member in self.members.live_in_zone(self.now_ms, &self.me.zone) {
             daemons.push(member.identity.clone());
             revision = revision.max(member.revision);
             add_summary(&mut summary, &member.summary);
--- a/crates/pool/src/advise.rs
+++ b/crates/pool/src/advise.rs
@@ -186,7 +186,10 @@
         let Some(unit) = job.unit_of(step) else { return false };
         let Some(worker) = self.workers.get(name) else { return false };
         let Some(ticket) = job.units[unit].advice.granted.get(&worker.slot) else { return false };
-        ticket.is_fresh(worker.info.incarnation, self.start_arrival_ms(step.job, job.spec.queue.advice))
+        ticket.is_fresh(
+            worker.info.incarnation,
+            self.start_arrival_ms(step.job, job.spec.queue.advice),
+        )
     }
 
     /// Estimates when a start that is recorded now arrives at its worker.
--- a/crates/pool/src/choose.rs
+++ b/crates/pool/src/choose.rs
@@ -374,5 +374,5 @@
 /// How many tasks of this demand fit into the free capacity. Limited to the tasks that a
 /// job may have, since tasks without any demand would fit any number of times.
 pub(crate) fn places_in(free: &Resources, demand: &Resources) -> u64 {
-    free.times_held(demand).min(TASKS_MAX)
+    free.fit_count(demand).min(TASKS_MAX)
 }
--- a/crates/pool/src/customers.rs
+++ b/crates/pool/src/customers.rs
@@ -132,7 +132,7 @@
     ) -> u64 {
         let Some(id) = customer else { return u64::MAX };
         let used = used.get(id.0).copied().unwrap_or_default();
-        remaining(&self.customers.get(id).limits.cap, &used).times_held(demand)
+        remaining(&self.customers.get(id).limits.cap, &used).fit_count(demand)
     }
 
     /// Whether a gang waits because of its customer's cap.
--- a/crates/pool/src/request.rs
+++ b/crates/pool/src/request.rs
@@ -118,7 +118,8 @@
         let places: u64 =
             candidates.iter().map(|(.., index)| places_of(&cycle.workers[*index])).sum();
         let mean_places = places / candidates.len() as u64;
-        let mut workers_max = self.query_workers_max(&job.spec.queue, u64::from(spec.tasks), mean_places);
+        let mut workers_max =
+            self.query_workers_max(&job.spec.queue, u64::from(spec.tasks), mean_places);
         let free_total: u64 = candidates.iter().map(|(free, ..)| free.0).sum();
         // Queries name no more than this, so the rest needs no order.
         let named_max = self.limits.advice_workers_max * self.gang_queries_max();
