--- a/crates/node/src/advisors.rs
+++ b/crates/node/src/advisor_dispatcher.rs
@@ -49,7 +49,7 @@
 
 /// Daemons that ask the advisor.
 #[derive(Debug)]
-pub struct Advisors<O> {
+pub struct AdvisorDispatcher<O> {
     outside: Arc<O>,
     peers: Peers,
     me: String,
@@ -77,10 +77,10 @@
 #[derive(Debug)]
 struct Waiting {
     cost_ms: u64,
-    turn: oneshot::Sender<Turn>,
+    turn: oneshot::Sender<Permit>,
 }
 
-impl<O: Outside> Advisors<O> {
+impl<O: Outside> AdvisorDispatcher<O> {
     /// Only this daemon asks, until others are known.
     pub fn new(outside: Arc<O>, peers: Peers, me: String) -> Self {
         let asking = BTreeMap::from([(me.clone(), Asking::default())]);
@@ -155,7 +155,7 @@
         None
     }
 
-    async fn turn(&self, priority: u32, cost_ms: u64) -> Option<Turn> {
+    async fn turn(&self, priority: u32, cost_ms: u64) -> Option<Permit> {
         let (turn, my_turn) = oneshot::channel();
         self.lock().enqueue(&self.state, priority, Waiting { cost_ms, turn });
         my_turn.await.ok()
@@ -204,7 +204,7 @@
 /// drops it half-way: a turn that stayed taken would count against the daemon for
 /// good, and after some of them no long question, and so no gang, would ever go.
 #[derive(Debug)]
-struct Turn {
+struct Permit {
     state: Arc<Mutex<State>>,
     address: String,
     cost_ms: u64,
@@ -213,7 +213,7 @@
     taken: bool,
 }
 
-impl Drop for Turn {
+impl Drop for Permit {
     fn drop(&mut self) {
         if !self.taken {
             return;
@@ -250,7 +250,7 @@
                 }
                 break;
             };
-            let turn = Turn {
+            let turn = Permit {
                 state: Arc::clone(shared),
                 address: address.clone(),
                 cost_ms: call.cost_ms,
--- a/crates/node/src/commit/mod.rs
+++ b/crates/node/src/commit/mod.rs
@@ -11,9 +11,9 @@
 
 pub(crate) use crate::commit::fences::Fence;
 pub(crate) use crate::commit::fences::claim_fences;
-pub(crate) use crate::commit::renew::DUTY_KEY;
-pub(crate) use crate::commit::renew::Held;
-pub(crate) use crate::commit::renew::keep_duty;
+pub(crate) use crate::commit::renew::HeldLease;
+pub(crate) use crate::commit::renew::LEADER_LEASE_KEY;
+pub(crate) use crate::commit::renew::renew_lease;
 pub(crate) use crate::commit::writer::Writer;
 
 /// A row's value.
--- a/crates/node/src/commit/renew.rs
+++ b/crates/node/src/commit/renew.rs
@@ -10,8 +10,8 @@
 
 use crate::clock::steady_ms;
 use crate::commit::encode;
-use crate::duty::DutyRow;
-use crate::duty::RENEW_MS;
+use crate::election::LeaderLease;
+use crate::election::RENEW_INTERVAL_MS;
 use crate::health::StoreHealth;
 use crate::outside::Outside;
 use crate::outside::Row;
@@ -20,33 +20,33 @@
 use crate::outside::Transaction;
 
 /// The key of the one row of [`Table::Duty`].
-pub(crate) const DUTY_KEY: &str = "scheduler";
+pub(crate) const LEADER_LEASE_KEY: &str = "scheduler";
 /// After a write that the store refused or did not answer.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// The duty as this daemon holds it.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct HeldLease {
     /// The row.
-    pub row: DutyRow,
+    pub row: LeaderLease,
     /// Its version.
     pub version: u64,
     /// When it was won.
-    pub won_ms: u64,
+    pub acquired_ms: u64,
 }
 
 /// Renews the duty until another daemon holds it or `stop` fires; then it is released.
-pub(crate) async fn keep_duty<O: Outside>(
+pub(crate) async fn renew_lease<O: Outside>(
     outside: Arc<O>,
-    held: Held,
+    lease: HeldLease,
     health: Arc<StoreHealth>,
     mut stop: watch::Receiver<bool>,
     renewed_ms: Arc<AtomicU64>,
 ) {
-    let mut keeper = Keeper { outside, held, health, renewed_ms };
+    let mut keeper = Keeper { outside, lease, health, renewed_ms };
     let mut renew_at = Instant::now();
     loop {
-        renew_at += Duration::from_millis(RENEW_MS);
+        renew_at += Duration::from_millis(RENEW_INTERVAL_MS);
         renew_at = renew_at.max(Instant::now());
         tokio::select! {
             biased;
@@ -57,14 +57,14 @@
             return;
         }
     }
-    keeper.held.row.released = true;
+    keeper.lease.row.released = true;
     let released = keeper.write().await;
-    tracing::info!(epoch = keeper.held.row.epoch, released, "duty given up");
+    tracing::info!(epoch = keeper.lease.row.epoch, released, "duty given up");
 }
 
 struct Keeper<O> {
     outside: Arc<O>,
-    held: Held,
+    lease: HeldLease,
     health: Arc<StoreHealth>,
     /// When a write under the duty last succeeded.
     renewed_ms: Arc<AtomicU64>,
@@ -80,8 +80,8 @@
                 Ok(version) => {
                     // Others may have seen the row change any time since.
                     self.renewed_ms.store(sent_ms, Ordering::Relaxed);
-                    self.held.row.beat += 1;
-                    self.held.version = version;
+                    self.lease.row.beat += 1;
+                    self.lease.version = version;
                     return true;
                 }
                 Err(StoreError::Conflict(rows)) => {
@@ -100,33 +100,34 @@
     /// Whether the row that is there now is one that this daemon wrote, with
     /// a write whose answer was lost.
     fn is_ours(&mut self, rows: &[(Table, Row)]) -> bool {
-        let there = rows.iter().find(|(table, row)| *table == Table::Duty && row.key == DUTY_KEY);
+        let there =
+            rows.iter().find(|(table, row)| *table == Table::Duty && row.key == LEADER_LEASE_KEY);
         let read = there.and_then(|(_, row)| Some((row.version, row.value.as_ref()?)));
         let Some((version, value)) = read else { return false };
-        let Ok(row) = serde_json::from_slice::<DutyRow>(value) else { return false };
-        let ours = row.holder == self.held.row.holder
-            && row.incarnation == self.held.row.incarnation
-            && row.epoch == self.held.row.epoch;
+        let Ok(row) = serde_json::from_slice::<LeaderLease>(value) else { return false };
+        let ours = row.holder == self.lease.row.holder
+            && row.incarnation == self.lease.row.incarnation
+            && row.epoch == self.lease.row.epoch;
         if ours {
-            self.held.version = version;
-            self.held.row.beat = row.beat + 1;
+            self.lease.version = version;
+            self.lease.row.beat = row.beat + 1;
         } else {
             tracing::warn!(holder = row.holder, epoch = row.epoch, "another daemon schedules now");
         }
         ours
     }
 
-    fn next_row(&self) -> DutyRow {
-        let row = &self.held.row;
-        let held_ms = steady_ms().saturating_sub(self.held.won_ms);
+    fn next_row(&self) -> LeaderLease {
+        let row = &self.lease.row;
+        let held_ms = steady_ms().saturating_sub(self.lease.acquired_ms);
         let earlier_extends_ms = row.earlier_extends_ms.saturating_sub(held_ms);
-        DutyRow { beat: row.beat + 1, earlier_extends_ms, ..row.clone() }
+        LeaderLease { beat: row.beat + 1, earlier_extends_ms, ..row.clone() }
     }
 
     fn transaction(&self) -> Transaction {
         Transaction {
-            expect: vec![(Table::Duty, DUTY_KEY.to_owned(), self.held.version)],
-            put: vec![(Table::Duty, DUTY_KEY.to_owned(), encode(&self.next_row()))],
+            expect: vec![(Table::Duty, LEADER_LEASE_KEY.to_owned(), self.lease.version)],
+            put: vec![(Table::Duty, LEADER_LEASE_KEY.to_owned(), encode(&self.next_row()))],
             remove: Vec::new(),
         }
     }
--- a/crates/node/src/commit/writer.rs
+++ b/crates/node/src/commit/writer.rs
@@ -18,7 +18,7 @@
 use crate::commit::fences::Fence;
 use crate::commit::fences::read_fence;
 use crate::health::StoreHealth;
-use crate::inbox::Senders;
+use crate::inbox::InboxSender;
 use crate::outside::Outside;
 use crate::outside::Row;
 use crate::outside::StoreError;
@@ -45,7 +45,7 @@
     /// The versions of the fences.
     pub versions: Mutex<Vec<u64>>,
     /// The leader's inbox.
-    pub messages: Senders,
+    pub messages: InboxSender,
 }
 
 /// What a try to write came to.
--- a/crates/node/src/duty.rs
+++ b/crates/node/src/election.rs
@@ -1,7 +1,7 @@
 //! Who schedules the pool: one row of the store, held for a time.
 //!
 //! The holder rewrites the row several times a second. A daemon that has seen
-//! it unchanged for [`LEASE_MS`] may claim it under the version that it saw;
+//! it unchanged for [`LEADER_LEASE_MS`] may claim it under the version that it saw;
 //! the store lets one of several win. How long a daemon waits beyond that is
 //! its fitness: near the store and with a strong processor goes first, so no
 //! vote is needed to end up with a good one.
@@ -11,17 +11,17 @@
 use stoatwell_pool::EXTEND_MS;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::scheduler::Liveness;
+use crate::leader_view::Liveness;
 
 /// How often the holder rewrites the row; a third of the lease, so that two
 /// lost writes in a row do not cost the duty.
-pub const RENEW_MS: u64 = 500;
+pub const RENEW_INTERVAL_MS: u64 = 500;
 /// A row that is unchanged for this long has lost its holder; a store that answers
 /// fifty times slower than usual still lets a renewal through in time.
-pub const LEASE_MS: u64 = 1_600;
+pub const LEADER_LEASE_MS: u64 = 1_600;
 /// A holder that is gone, or cut off from the store by its own word, is replaced when
 /// the row is unchanged for this long: one that others do not reach still renews it.
-pub const QUIET_MS: u64 = RENEW_MS + 100;
+pub const FAILED_LEADER_TIMEOUT_MS: u64 = RENEW_INTERVAL_MS + 100;
 /// The same in usual answer times of the store, on top of it.
 const QUIET_ANSWERS: u64 = 2;
 /// A renewal may be seen this long before its holder hears of it: some answers of
@@ -52,7 +52,7 @@
 
 /// The row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DutyRow {
+pub struct LeaderLease {
     /// The daemon that schedules.
     pub holder: String,
     /// Its start, so that a daemon that was restarted is not taken for its former self.
@@ -73,9 +73,9 @@
 
 /// What a daemon knows of the row.
 #[derive(Clone, Debug)]
-pub struct DutyView {
+pub struct LeaderLeaseView {
     /// The row and its version, if there is one.
-    pub row: Option<(DutyRow, u64)>,
+    pub row: Option<(LeaderLease, u64)>,
     /// When it was last seen to change.
     pub changed_ms: u64,
     /// Since when it can be read and written, for all that is known; while it cannot,
@@ -85,7 +85,7 @@
 
 /// What makes a daemon a good or a bad scheduler.
 #[derive(Clone, Debug)]
-pub struct Fitness {
+pub struct Candidate {
     /// Its name.
     pub name: String,
     /// Its share of a core times the core's speed.
@@ -96,7 +96,7 @@
     pub store_answer_ms: u64,
 }
 
-impl Fitness {
+impl Candidate {
     /// How long this daemon stands back for better ones.
     pub fn delay_ms(&self) -> u64 {
         let beyond_ms = self.store_answer_ms.saturating_sub(NEAR_ANSWER_MS);
@@ -115,7 +115,7 @@
     cores < LEADER_CORES_MIN
 }
 
-impl DutyView {
+impl LeaderLeaseView {
     /// A daemon that has not read the row yet.
     pub fn new(now_ms: u64) -> Self {
         Self { row: None, changed_ms: now_ms, writable_since_ms: now_ms }
@@ -127,8 +127,8 @@
     }
 
     /// Takes note of the row as it was read.
-    pub fn saw(&mut self, row: Option<(DutyRow, u64)>, now_ms: u64) {
-        let version = |row: &Option<(DutyRow, u64)>| row.as_ref().map(|(_, version)| *version);
+    pub fn observe(&mut self, row: Option<(LeaderLease, u64)>, now_ms: u64) {
+        let version = |row: &Option<(LeaderLease, u64)>| row.as_ref().map(|(_, version)| *version);
         if version(&row) == version(&self.row) {
             return;
         }
@@ -137,7 +137,7 @@
     }
 
     /// When this daemon may claim the duty, if nothing changes.
-    pub fn claim_ms(&self, fitness: &Fitness, holder: Liveness) -> u64 {
+    pub fn claim_ms(&self, fitness: &Candidate, holder: Liveness) -> u64 {
         let free = self.row.as_ref().is_none_or(|(row, _)| row.released);
         // A row of this daemon's former self has surely lost its holder.
         let mine = self.row.as_ref().is_some_and(|(row, _)| row.holder == fitness.name);
@@ -151,11 +151,11 @@
         }
         let quiet_ms = match holder {
             Liveness::Gone | Liveness::Isolated => {
-                QUIET_MS + fitness.store_answer_ms * QUIET_ANSWERS
+                FAILED_LEADER_TIMEOUT_MS + fitness.store_answer_ms * QUIET_ANSWERS
             }
-            Liveness::Healthy | Liveness::Unknown => LEASE_MS,
+            Liveness::Healthy | Liveness::Unknown => LEADER_LEASE_MS,
         };
-        since_ms + quiet_ms.min(LEASE_MS) + fitness.delay_ms()
+        since_ms + quiet_ms.min(LEADER_LEASE_MS) + fitness.delay_ms()
     }
 
     /// Which holder of the duty the row names.
--- a/crates/node/src/executors/call.rs
+++ b/crates/node/src/executors/call.rs
@@ -47,7 +47,7 @@
 
 /// A call with the number under which its answer is given.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
+pub struct NumberedCall {
     /// Its number.
     pub number: u64,
     /// The call; that of a start comes without its payload.
@@ -61,7 +61,7 @@
 pub struct Batch {
     /// After this moment of the executor's clock nothing is started any more.
     pub expires_ms: u64,
-    orders: Vec<Order>,
+    orders: Vec<NumberedCall>,
     /// Payloads of jobs, once each.
     payloads: Vec<Arc<str>>,
 }
@@ -71,7 +71,7 @@
 
 /// What the leader remembers of a call until its answer comes.
 #[derive(Clone, Debug)]
-pub enum Pending {
+pub enum PendingCall {
     /// A hold.
     Hold {
         /// The worker.
@@ -110,17 +110,19 @@
 
 impl WorkerCall {
     /// What has to be remembered of it.
-    pub fn pending(&self) -> Pending {
+    pub fn pending(&self) -> PendingCall {
         match self {
-            Self::Hold(call) => Pending::Hold { worker: call.to.worker.clone(), turn: call.turn },
+            Self::Hold(call) => {
+                PendingCall::Hold { worker: call.to.worker.clone(), turn: call.turn }
+            }
             Self::Start(StartCall { to, task, run, .. }) => {
-                Pending::Start { worker: to.worker.clone(), task: *task, run: *run }
+                PendingCall::Start { worker: to.worker.clone(), task: *task, run: *run }
             }
             Self::Stop(StopCall { to, task, run }) => {
-                Pending::Stop { worker: to.worker.clone(), task: *task, run: *run }
+                PendingCall::Stop { worker: to.worker.clone(), task: *task, run: *run }
             }
             Self::Pace(PaceCall { to, task, run, .. }) => {
-                Pending::Pace { worker: to.worker.clone(), task: *task, run: *run }
+                PendingCall::Pace { worker: to.worker.clone(), task: *task, run: *run }
             }
         }
     }
@@ -153,7 +155,7 @@
     }
 }
 
-impl Pending {
+impl PendingCall {
     /// The worker.
     pub fn worker(&self) -> &WorkerId {
         match self {
@@ -227,7 +229,7 @@
                     batch.payloads.len() as u32 - 1
                 });
             }
-            batch.orders.push(Order { number, call, payload });
+            batch.orders.push(NumberedCall { number, call, payload });
         }
         batch
     }
--- a/crates/node/src/executors/link.rs
+++ b/crates/node/src/executors/link.rs
@@ -15,7 +15,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::call::Batch;
-use super::call::Pending;
+use super::call::PendingCall;
 use super::call::Replies;
 use super::call::WorkerCall;
 use super::call::WorkerReply;
@@ -61,7 +61,7 @@
     /// The executor's clock, and when it was received.
     clock: Option<(u64, u64)>,
     queue: Vec<(u64, u64, WorkerCall)>,
-    pending: HashMap<u64, Pending>,
+    pending: HashMap<u64, PendingCall>,
     numbers: u64,
 }
 
@@ -110,7 +110,7 @@
         &self,
         peers: &Peers,
         next_session: impl Fn() -> SessionId,
-        on_reply: impl Fn(Pending, WorkerReply),
+        on_reply: impl Fn(PendingCall, WorkerReply),
         on_change: impl Fn(),
     ) {
         let mut pause = REOPEN_MIN;
@@ -141,7 +141,7 @@
         &self,
         peers: &Peers,
         session: SessionId,
-        on_reply: &impl Fn(Pending, WorkerReply),
+        on_reply: &impl Fn(PendingCall, WorkerReply),
     ) {
         while self.collect(peers, session, COLLECT_WAIT_MS, on_reply).await {}
     }
@@ -152,7 +152,7 @@
         peers: &Peers,
         session: SessionId,
         wait_ms: u64,
-        on_reply: &impl Fn(Pending, WorkerReply),
+        on_reply: &impl Fn(PendingCall, WorkerReply),
     ) -> bool {
         let call = NodeCall::Collect { session, wait_ms };
         let limit = Duration::from_millis(wait_ms) + COLLECT_MARGIN;
@@ -184,7 +184,7 @@
         &self,
         peers: &Peers,
         session: SessionId,
-        on_reply: &impl Fn(Pending, WorkerReply),
+        on_reply: &impl Fn(PendingCall, WorkerReply),
     ) {
         let mut under_way: JoinSet<Result<(), (Vec<u64>, CallError)>> = JoinSet::new();
         loop {
@@ -212,7 +212,10 @@
     }
 
     /// What is queued, but for orders that are too old to be sent.
-    fn next_batch(&self, on_reply: &impl Fn(Pending, WorkerReply)) -> Option<(Batch, Vec<u64>)> {
+    fn next_batch(
+        &self,
+        on_reply: &impl Fn(PendingCall, WorkerReply),
+    ) -> Option<(Batch, Vec<u64>)> {
         let now_ms = steady_ms();
         let mut state = self.lock();
         let (clock_ms, at_ms) = state.clock?;
@@ -230,7 +233,7 @@
     }
 
     /// Settles all that waits: what was not sent surely did nothing.
-    fn fail(&self, on_reply: &impl Fn(Pending, WorkerReply)) {
+    fn fail(&self, on_reply: &impl Fn(PendingCall, WorkerReply)) {
         let mut state = self.lock();
         if state.phase == Phase::Open {
             let pending = state.pending.len();
@@ -245,7 +248,12 @@
         self.settle(&sent, CallError::NoAnswer, on_reply);
     }
 
-    fn settle(&self, numbers: &[u64], error: CallError, on_reply: &impl Fn(Pending, WorkerReply)) {
+    fn settle(
+        &self,
+        numbers: &[u64],
+        error: CallError,
+        on_reply: &impl Fn(PendingCall, WorkerReply),
+    ) {
         for number in numbers {
             let pending = self.lock().pending.remove(number);
             if let Some(pending) = pending {
--- a/crates/node/src/executors/mod.rs
+++ b/crates/node/src/executors/mod.rs
@@ -30,11 +30,11 @@
 use self::call::WorkerCall;
 use self::call::WorkerReply;
 use self::link::Link;
+use self::plan::executor_candidates;
 use self::plan::executors_wanted;
 use self::plan::is_busy;
 use self::plan::needs_executors;
-use self::plan::order_of_use;
-use crate::inbox::Senders;
+use crate::inbox::InboxSender;
 use crate::members::Member;
 use crate::outside::Outside;
 
@@ -47,7 +47,7 @@
     outside: Arc<O>,
     peers: Peers,
     epoch: u64,
-    messages: Senders,
+    messages: InboxSender,
     state: Arc<Mutex<State>>,
     /// Calls that the leader makes itself, and the links; all end with it.
     tasks: Mutex<JoinSet<()>>,
@@ -71,7 +71,13 @@
 
 impl<O: Outside> Executors<O> {
     /// No executors yet: the leader makes all calls itself.
-    pub fn new(outside: Arc<O>, peers: Peers, me: Member, epoch: u64, messages: Senders) -> Self {
+    pub fn new(
+        outside: Arc<O>,
+        peers: Peers,
+        me: Member,
+        epoch: u64,
+        messages: InboxSender,
+    ) -> Self {
         let state = State {
             me,
             members: Vec::new(),
@@ -116,7 +122,7 @@
     }
 
     /// Waits until each zone that needs an executor has one, but not for long.
-    pub async fn opened(&self) {
+    pub async fn wait_until_open(&self) {
         let mut changes = self.changed.subscribe();
         let all_open = async { while !self.is_open() && changes.changed().await.is_ok() {} };
         if timeout(OPEN_TIMEOUT, all_open).await.is_err() {
@@ -160,7 +166,7 @@
             return;
         }
         for (zone, workers) in state.workers.clone() {
-            for member in order_of_use(&zone, &state.members, &state.me) {
+            for member in executor_candidates(&zone, &state.members, &state.me) {
                 let links = state.links.entry(zone.clone()).or_default();
                 if links.iter().filter(|link| link.may_work()).count() >= executors_wanted(workers)
                 {
@@ -183,7 +189,7 @@
         let shared = Arc::clone(&self.state);
         let changed = self.changed.clone();
         let epoch = self.epoch;
-        let on_reply = move |pending: call::Pending, reply: WorkerReply| {
+        let on_reply = move |pending: call::PendingCall, reply: WorkerReply| {
             if reply.is_unanswered() {
                 lock(&shared).detours.insert(pending.worker().clone());
             }
--- a/crates/node/src/executors/plan.rs
+++ b/crates/node/src/executors/plan.rs
@@ -41,7 +41,7 @@
 }
 
 /// The daemons of a zone that may execute, the most powerful first.
-pub fn order_of_use(zone: &ZoneName, members: &[Member], leader: &Member) -> Vec<Member> {
+pub fn executor_candidates(zone: &ZoneName, members: &[Member], leader: &Member) -> Vec<Member> {
     let mine = |member: &&Member| member.zone == *zone && member.address != leader.address;
     let mut order: Vec<Member> = members.iter().filter(mine).cloned().collect();
     order.sort_by(|a, b| {
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -10,13 +10,13 @@
 use stoatwell_pool::JobId;
 use stoatwell_pool::JobSpec;
 
-use crate::advisors::Advisors;
+use crate::advisor_dispatcher::AdvisorDispatcher;
 use crate::clock::steady_ms;
-use crate::duty::is_underprovisioned;
+use crate::election::is_underprovisioned;
 use crate::executors::Executors;
 use crate::gateway::Gateway;
 use crate::health::StoreHealth;
-use crate::inbox::Senders;
+use crate::inbox::InboxSender;
 use crate::members::read_members;
 use crate::outside::Outside;
 use crate::outside::Row;
@@ -51,7 +51,7 @@
     /// Whether the store answers.
     pub health: Arc<StoreHealth>,
     /// The scheduler's inbox.
-    pub messages: Senders,
+    pub messages: InboxSender,
 }
 
 impl<O: Outside> Follower<O> {
@@ -176,7 +176,7 @@
     /// learn it otherwise, and could answer its callers nothing.
     pub async fn track_members(
         self: Arc<Self>,
-        advisors: Arc<Advisors<O>>,
+        advisors: Arc<AdvisorDispatcher<O>>,
         executors: Arc<Executors<O>>,
         gateway: Arc<Gateway<O>>,
         leads: NodeCall,
--- a/crates/node/src/gateway.rs
+++ b/crates/node/src/gateway.rs
@@ -32,6 +32,9 @@
 use crate::executors::session::Executor;
 use crate::follow::read_row;
 use crate::health::StoreHealth;
+use crate::leader_view::LeaderView;
+use crate::leader_view::Liveness;
+use crate::leader_view::Route;
 use crate::manifest::Manifest;
 use crate::manifest::ManifestInForce;
 use crate::manifest::PassedProof;
@@ -41,9 +44,6 @@
 use crate::outside::Table;
 use crate::peers::NodeCall;
 use crate::peers::NodeReply;
-use crate::scheduler::Liveness;
-use crate::scheduler::Route;
-use crate::scheduler::SchedulerView;
 
 /// How long the scheduler may take to answer before the store is asked:
 /// several round trips between regions.
@@ -78,7 +78,7 @@
     peers: Peers,
     health: Arc<StoreHealth>,
     manifest: Arc<ManifestInForce>,
-    scheduler: watch::Sender<SchedulerView>,
+    scheduler: watch::Sender<LeaderView>,
     executor: Executor<O>,
     /// Daemons that this one knows of while it leads, and those among them that are fit to.
     daemons: AtomicU32,
@@ -124,12 +124,12 @@
 
     /// Takes note of who holds the duty.
     pub(crate) fn saw_scheduler(&self, epoch: u64, address: Option<String>) {
-        self.scheduler.send_modify(|view| view.saw(epoch, address));
+        self.scheduler.send_modify(|view| view.observe(epoch, address));
     }
 
     /// Takes note that this daemon schedules, or does no more.
     pub(crate) fn set_scheduler_here(&self, here: Option<mpsc::Sender<Query>>) {
-        self.scheduler.send_modify(|view| view.set_here(here));
+        self.scheduler.send_modify(|view| view.set_local(here));
     }
 
     /// Takes note of whether a holder of the duty lives.
@@ -143,7 +143,7 @@
     }
 
     /// Tells of changes to what is known of the scheduler.
-    pub(crate) fn watch_scheduler(&self) -> watch::Receiver<SchedulerView> {
+    pub(crate) fn watch_scheduler(&self) -> watch::Receiver<LeaderView> {
         self.scheduler.subscribe()
     }
 
@@ -288,15 +288,15 @@
         let call = NodeCall::Submit { job, row };
         let address = match self.route() {
             Route::None => return Told::Nothing,
-            Route::Here(_) if !self.is_store_up() => return Told::Nothing,
-            Route::Here(queries) => {
+            Route::Local(_) if !self.is_store_up() => return Told::Nothing,
+            Route::Local(queries) => {
                 let asked = timeout_at(deadline, ask_here(&queries, call)).await;
                 return match asked {
                     Ok(Some(NodeReply::Submitted(accepted))) => Told::Outcome(accepted),
                     Ok(_) | Err(_) => Told::Silent,
                 };
             }
-            Route::At(address) => address,
+            Route::Remote(address) => address,
         };
         let limit = deadline.saturating_duration_since(Instant::now());
         match self.peers.call::<NodeReply>(&address, &call, limit).await {
@@ -313,7 +313,7 @@
     /// to act by itself.
     async fn leader_falls_silent(&self) {
         let mut view = self.scheduler.subscribe();
-        let gone = view.wait_for(SchedulerView::is_unfit);
+        let gone = view.wait_for(LeaderView::is_unavailable);
         tokio::select! {
             _ = gone => {}
             () = tokio::time::sleep(LEADER_PATIENCE) => {}
@@ -346,7 +346,7 @@
     async fn keep_cancel_for_other(&self, job: JobId, limit_ms: u64) -> Accepted {
         let deadline = Instant::now() + Duration::from_millis(limit_ms);
         let kept = self.acceptor.accept(Item::Cancel(job), deadline).await;
-        if let (Accepted::Yes, Route::Here(queries)) = (kept, self.route())
+        if let (Accepted::Yes, Route::Local(queries)) = (kept, self.route())
             && ask_here(&queries, NodeCall::Cancelled(job)).await.is_none()
         {
             tracing::debug!("the scheduler ended before it was told, the store's feed tells");
@@ -356,8 +356,8 @@
 
     fn scheduler_elsewhere(&self) -> Option<String> {
         match self.route() {
-            Route::At(address) => Some(address),
-            Route::Here(_) | Route::None => None,
+            Route::Remote(address) => Some(address),
+            Route::Local(_) | Route::None => None,
         }
     }
 
@@ -423,8 +423,8 @@
     async fn ask(&self, call: NodeCall) -> Option<NodeReply> {
         match self.route() {
             Route::None => None,
-            Route::Here(queries) => ask_here(&queries, call).await,
-            Route::At(address) => {
+            Route::Local(queries) => ask_here(&queries, call).await,
+            Route::Remote(address) => {
                 match self.peers.call::<NodeReply>(&address, &call, SCHEDULER_LIMIT).await {
                     Ok(NodeReply::NotScheduler) => None,
                     Ok(reply) => Some(reply),
@@ -470,7 +470,7 @@
                 proof: self.manifest.passed_proof(steady_ms()),
             };
         }
-        let Route::Here(queries) = self.route() else { return NodeReply::NotScheduler };
+        let Route::Local(queries) = self.route() else { return NodeReply::NotScheduler };
         if call == NodeCall::Alive {
             let daemons = self.daemons.load(Ordering::Relaxed);
             let fit = self.fit_daemons.load(Ordering::Relaxed);
--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 
 use crate::clock::steady_ms;
-use crate::commit::DUTY_KEY;
+use crate::commit::LEADER_LEASE_KEY;
 use crate::outside::Outside;
 use crate::outside::StoreError;
 use crate::outside::Table;
@@ -195,7 +195,7 @@
         let outside = Arc::clone(&outside);
         let health = Arc::clone(&health);
         questions.spawn(async move {
-            let answered = timeout(PROBE_LIMIT, outside.read(Table::Duty, DUTY_KEY)).await;
+            let answered = timeout(PROBE_LIMIT, outside.read(Table::Duty, LEADER_LEASE_KEY)).await;
             if let Ok(Ok(_)) = answered {
                 health.note_up();
             }
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -25,14 +25,14 @@
 
 /// The sending ends.
 #[derive(Clone, Debug)]
-pub struct Senders {
+pub struct InboxSender {
     control: mpsc::UnboundedSender<Message>,
     ordinary: mpsc::UnboundedSender<Message>,
 }
 
 /// What one turn of the leader handles, in stretches.
 #[derive(Debug)]
-pub struct Turn {
+pub struct MessageBudget {
     began: Instant,
     /// Messages of the present stretch.
     handled: usize,
@@ -41,11 +41,11 @@
 }
 
 /// A new inbox and the way to it.
-pub fn inbox() -> (Senders, Inbox) {
+pub fn inbox() -> (InboxSender, Inbox) {
     let (control, control_received) = mpsc::unbounded_channel();
     let (ordinary, ordinary_received) = mpsc::unbounded_channel();
     let inbox = Inbox { control: control_received, ordinary: ordinary_received };
-    (Senders { control, ordinary }, inbox)
+    (InboxSender { control, ordinary }, inbox)
 }
 
 impl Inbox {
@@ -64,7 +64,7 @@
     }
 
     /// A message that waits, if the stretch may have one more.
-    pub fn take(&mut self, turn: &mut Turn) -> Option<Message> {
+    pub fn try_recv(&mut self, turn: &mut MessageBudget) -> Option<Message> {
         if let Ok(message) = self.control.try_recv() {
             return Some(message);
         }
@@ -76,7 +76,7 @@
     }
 }
 
-impl Senders {
+impl InboxSender {
     /// Tells the scheduler of an event.
     pub fn notify(&self, event: Event) {
         let sender = match event {
@@ -99,14 +99,14 @@
     }
 }
 
-impl Turn {
+impl MessageBudget {
     /// A turn after a decision that took this long.
-    pub fn after(decided: Duration) -> Self {
+    pub fn after_decision(decided: Duration) -> Self {
         Self { began: Instant::now(), handled: 0, at_least: decided }
     }
 
     /// Begins another stretch, if there is more to handle and time for it.
-    pub fn goes_on(&mut self) -> bool {
+    pub fn next_burst(&mut self) -> bool {
         let is_full = self.handled >= MESSAGES_MAX;
         self.handled = 0;
         is_full && self.began.elapsed() < self.at_least
--- a/crates/node/src/lead.rs
+++ b/crates/node/src/leader.rs
@@ -25,15 +25,15 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-use crate::advisors::Advisors;
+use crate::advisor_dispatcher::AdvisorDispatcher;
 use crate::clock::steady_ms;
 use crate::clock::unix_ms;
 use crate::commit::Fence;
-use crate::commit::Held;
+use crate::commit::HeldLease;
 use crate::commit::Writer;
 use crate::commit::claim_fences;
-use crate::commit::keep_duty;
-use crate::duty::LEASE_MS;
+use crate::commit::renew_lease;
+use crate::election::LEADER_LEASE_MS;
 use crate::executors::Executors;
 use crate::executors::call::WorkerCall;
 use crate::follow::Follower;
@@ -41,8 +41,8 @@
 use crate::gateway::Gateway;
 use crate::health::StoreHealth;
 use crate::inbox::Inbox;
-use crate::inbox::Senders;
-use crate::inbox::Turn;
+use crate::inbox::InboxSender;
+use crate::inbox::MessageBudget;
 use crate::inbox::inbox;
 use crate::manifest::Manifest;
 use crate::manifest::ManifestInForce;
@@ -67,40 +67,40 @@
 const MEASURE_EVERY_MS: u64 = 1_000;
 /// Everything a scheduler needs of its daemon.
 #[derive(Debug)]
-pub struct Lead<O> {
+pub struct Leader<O> {
     /// The outside world.
     pub outside: Arc<O>,
     /// The duty as it was won.
-    pub held: Held,
+    pub lease: HeldLease,
     /// The pool's figures.
     pub limits: Limits,
     /// Whether the store answers.
     pub health: Arc<StoreHealth>,
     /// Who asks the advisor.
-    pub advisors: Arc<Advisors<O>>,
+    pub advisors: Arc<AdvisorDispatcher<O>>,
     /// The way to other daemons.
     pub peers: Peers,
     /// Tells other daemons of this one.
     pub gateway: Arc<Gateway<O>>,
     /// This daemon, as others know it.
-    pub me: Member,
+    pub member: Member,
     /// Questions of this daemon's callers and of other daemons.
     pub queries: mpsc::Receiver<Query>,
     /// Fires when the daemon stops.
     pub stop: tokio::sync::watch::Receiver<bool>,
 }
 
-impl<O: Outside> Lead<O> {
+impl<O: Outside> Leader<O> {
     /// Schedules until another daemon does or this one stops.
     pub async fn run(mut self) {
         let began_ms = steady_ms();
-        let epoch = self.held.row.epoch;
+        let epoch = self.lease.row.epoch;
         let (messages, mut inbox) = inbox();
         let mut tasks = JoinSet::new();
         let renewed_ms = Arc::new(AtomicU64::new(began_ms));
-        tasks.spawn(keep_duty_and_notify(
+        tasks.spawn(renew_lease_and_notify(
             Arc::clone(&self.outside),
-            self.held.clone(),
+            self.lease.clone(),
             Arc::clone(&self.health),
             messages.clone(),
             self.stop.clone(),
@@ -109,7 +109,7 @@
         let executors = Arc::new(Executors::new(
             Arc::clone(&self.outside),
             self.peers.clone(),
-            self.me.clone(),
+            self.member.clone(),
             epoch,
             messages.clone(),
         ));
@@ -118,7 +118,7 @@
         let loaded = self.load(epoch, &mut tasks, &messages, &mut inbox, &executors).await;
         let Some((mut pool, writer)) = loaded else { return };
         let mut submissions = Submissions::default();
-        executors.opened().await;
+        executors.wait_until_open().await;
         tracing::info!(epoch, took_ms = steady_ms() - began_ms, "scheduler ready");
         metrics::counter!("stoatwell_takeovers_total").increment(1);
         let mut measured_ms = 0;
@@ -134,11 +134,11 @@
             };
             let began = Instant::now();
             let fresh = is_fresh(&renewed_ms);
-            let mut turn = Turn::after(decided);
+            let mut turn = MessageBudget::after_decision(decided);
             if !handle_all(&mut pool, &mut submissions, first, &mut inbox, &mut turn, fresh) {
                 return;
             }
-            while turn.goes_on() {
+            while turn.next_burst() {
                 tokio::task::yield_now().await;
                 if !handle_all(&mut pool, &mut submissions, None, &mut inbox, &mut turn, fresh) {
                     return;
@@ -186,18 +186,18 @@
         &self,
         epoch: u64,
         tasks: &mut JoinSet<()>,
-        messages: &Senders,
+        messages: &InboxSender,
         inbox: &mut Inbox,
         executors: &Arc<Executors<O>>,
     ) -> Option<(Pool, Arc<Writer<O>>)> {
-        let row = &self.held.row;
+        let row = &self.lease.row;
         let fence =
             Fence { holder: row.holder.clone(), incarnation: row.incarnation, epoch, beat: 0 };
         let versions = tokio::select! {
             versions = claim_fences(&self.outside, &self.health, &fence) => versions?,
             () = deposed(inbox) => return None,
         };
-        let claimed = versions.iter().copied().max().unwrap_or(0).max(self.held.version);
+        let claimed = versions.iter().copied().max().unwrap_or(0).max(self.lease.version);
         let writer = Arc::new(Writer {
             outside: Arc::clone(&self.outside),
             health: Arc::clone(&self.health),
@@ -222,7 +222,7 @@
             all = all => all,
             () = deposed(inbox) => return None,
         };
-        let earlier_extends_ms = self.held.row.earlier_extends_ms;
+        let earlier_extends_ms = self.lease.row.earlier_extends_ms;
         let election = Election { epoch, earlier_extends_ms };
         let mut pool = Pool::new(election, self.limits, steady_ms(), unix_ms());
         let manifest = self.gateway.manifest().newest();
@@ -268,7 +268,7 @@
         tasks.spawn(Arc::clone(&follower).follow(Table::Jobs, jobs.version));
         tasks.spawn(Arc::clone(&follower).follow(Table::Cancels, cancels.version));
         tasks.spawn(Arc::clone(&follower).follow_workers(version));
-        let leads = NodeCall::Leads { epoch, address: self.held.row.address.clone() };
+        let leads = NodeCall::Leads { epoch, address: self.lease.row.address.clone() };
         let (advisors, executors) = (Arc::clone(&self.advisors), Arc::clone(executors));
         let gateway = Arc::clone(&self.gateway);
         tasks.spawn(follower.track_members(advisors, executors, gateway, leads));
@@ -280,7 +280,7 @@
         effect: Effect,
         pool: &Pool,
         executors: &Executors<O>,
-        messages: &Senders,
+        messages: &InboxSender,
         writer: &Arc<Writer<O>>,
         tasks: &mut JoinSet<()>,
     ) {
@@ -309,7 +309,11 @@
 }
 
 /// Tells the scheduler of the customers of each newer manifest.
-async fn forward_customers(in_force: Arc<ManifestInForce>, mut version: u64, messages: Senders) {
+async fn forward_customers(
+    in_force: Arc<ManifestInForce>,
+    mut version: u64,
+    messages: InboxSender,
+) {
     loop {
         let manifest = in_force.newer_than(version).await;
         version = manifest.version;
@@ -330,15 +334,15 @@
     }
 }
 
-async fn keep_duty_and_notify<O: Outside>(
+async fn renew_lease_and_notify<O: Outside>(
     outside: Arc<O>,
-    held: Held,
+    lease: HeldLease,
     health: Arc<StoreHealth>,
-    messages: Senders,
+    messages: InboxSender,
     stop: tokio::sync::watch::Receiver<bool>,
     renewed_ms: Arc<AtomicU64>,
 ) {
-    keep_duty(outside, held, health, stop, renewed_ms).await;
+    renew_lease(outside, lease, health, stop, renewed_ms).await;
     messages.depose();
 }
 
@@ -348,10 +352,10 @@
     submissions: &mut Submissions,
     first: Option<Message>,
     inbox: &mut Inbox,
-    turn: &mut Turn,
+    turn: &mut MessageBudget,
     fresh: bool,
 ) -> bool {
-    let more = std::iter::from_fn(|| inbox.take(turn));
+    let more = std::iter::from_fn(|| inbox.try_recv(turn));
     for message in first.into_iter().chain(more) {
         match message {
             Message::Deposed => return false,
@@ -369,7 +373,7 @@
 /// store may have been replaced and not know it; it keeps its workers' leases
 /// until it learns so, but does not tell how much work waits.
 fn is_fresh(renewed_ms: &AtomicU64) -> bool {
-    steady_ms().saturating_sub(renewed_ms.load(Ordering::Relaxed)) < LEASE_MS
+    steady_ms().saturating_sub(renewed_ms.load(Ordering::Relaxed)) < LEADER_LEASE_MS
 }
 
 fn answer(pool: &mut Pool, submissions: &mut Submissions, query: Query, fresh: bool) {
--- a/crates/node/src/scheduler.rs
+++ b/crates/node/src/leader_view.rs
@@ -41,9 +41,9 @@
     /// None is known, or it is gone.
     None,
     /// This daemon.
-    Here(mpsc::Sender<Query>),
+    Local(mpsc::Sender<Query>),
     /// The daemon at this address.
-    At(String),
+    Remote(String),
 }
 
 /// Whether a scheduler lives.
@@ -62,7 +62,7 @@
 
 /// What a daemon knows of who schedules.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct SchedulerView {
+pub(crate) struct LeaderView {
     /// The way to it, while it is this daemon.
     here: Option<mpsc::Sender<Query>>,
     /// The newest holder of the duty that was heard of.
@@ -73,9 +73,9 @@
     liveness: Liveness,
 }
 
-impl SchedulerView {
+impl LeaderView {
     /// Takes note of a holder of the duty; one that was replaced is left out.
-    pub fn saw(&mut self, epoch: u64, address: Option<String>) {
+    pub fn observe(&mut self, epoch: u64, address: Option<String>) {
         if epoch < self.epoch {
             return;
         }
@@ -87,17 +87,17 @@
     }
 
     /// This daemon schedules now, or does no more.
-    pub fn set_here(&mut self, here: Option<mpsc::Sender<Query>>) {
+    pub fn set_local(&mut self, here: Option<mpsc::Sender<Query>>) {
         self.here = here;
     }
 
     /// The way to the scheduler.
     pub fn route(&self) -> Route {
         if let Some(here) = &self.here {
-            return Route::Here(here.clone());
+            return Route::Local(here.clone());
         }
         match &self.address {
-            Some(address) if self.liveness != Liveness::Gone => Route::At(address.clone()),
+            Some(address) if self.liveness != Liveness::Gone => Route::Remote(address.clone()),
             _ => Route::None,
         }
     }
@@ -123,13 +123,13 @@
     }
 
     /// Whether there is no leader, or none that could make anything durable.
-    pub fn is_unfit(&self) -> bool {
+    pub fn is_unavailable(&self) -> bool {
         let known = self.here.is_some() || self.address.is_some();
         !known || matches!(self.liveness, Liveness::Gone | Liveness::Isolated)
     }
 
     /// The daemon to be asked whether it lives.
-    fn elsewhere(&self) -> Option<(u64, String)> {
+    fn remote(&self) -> Option<(u64, String)> {
         let address = self.address.clone().filter(|_| self.here.is_none())?;
         Some((self.epoch, address))
     }
@@ -146,7 +146,7 @@
     let mut misses = 0;
     let mut every = PROBE_INTERVAL;
     loop {
-        let target = view.borrow_and_update().elsewhere();
+        let target = view.borrow_and_update().remote();
         if target != asked {
             misses = 0;
             asked.clone_from(&target);
@@ -191,11 +191,11 @@
 
 /// Waits for a time, or until another daemon schedules.
 async fn wait(
-    view: &mut watch::Receiver<SchedulerView>,
+    view: &mut watch::Receiver<LeaderView>,
     asked: Option<&(u64, String)>,
     pause: Duration,
 ) {
-    let another = view.wait_for(|view| view.elsewhere().as_ref() != asked);
+    let another = view.wait_for(|view| view.remote().as_ref() != asked);
     tokio::select! {
         _ = another => {}
         () = sleep(pause) => {}
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -5,23 +5,23 @@
 //! else to agree on, and nothing is kept but in the store.
 
 mod accept;
-mod advisors;
+mod advisor_dispatcher;
 pub mod clock;
 mod commit;
-mod duty;
+mod election;
 pub mod executors;
 mod follow;
 mod gateway;
 mod health;
 mod inbox;
-mod lead;
+mod leader;
+mod leader_view;
 mod manifest;
 mod measure;
 mod members;
 mod message;
 mod outside;
 mod peers;
-mod scheduler;
 mod submissions;
 mod watch;
 
@@ -38,19 +38,21 @@
 use crate::health::StoreHealth;
 use crate::watch::Watch;
 
-pub use crate::advisors::Advisors;
-pub use crate::duty::DutyRow;
-pub use crate::duty::DutyView;
-pub use crate::duty::Fitness;
-pub use crate::duty::LEASE_MS;
-pub use crate::duty::QUIET_MS;
-pub use crate::duty::RENEW_MS;
+pub use crate::advisor_dispatcher::AdvisorDispatcher;
+pub use crate::election::Candidate;
+pub use crate::election::FAILED_LEADER_TIMEOUT_MS;
+pub use crate::election::LEADER_LEASE_MS;
+pub use crate::election::LeaderLease;
+pub use crate::election::LeaderLeaseView;
+pub use crate::election::RENEW_INTERVAL_MS;
 pub use crate::gateway::Gateway;
 pub use crate::gateway::Known;
 pub use crate::inbox::Inbox;
-pub use crate::inbox::Senders;
-pub use crate::inbox::Turn;
+pub use crate::inbox::InboxSender;
+pub use crate::inbox::MessageBudget;
 pub use crate::inbox::inbox;
+pub use crate::leader_view::Liveness;
+pub use crate::leader_view::probe_interval;
 pub use crate::manifest::Denied;
 pub use crate::manifest::Manifest;
 pub use crate::manifest::ManifestInForce;
@@ -69,8 +71,6 @@
 pub use crate::outside::Transaction;
 pub use crate::outside::WorkerChanges;
 pub use crate::outside::shard;
-pub use crate::scheduler::Liveness;
-pub use crate::scheduler::probe_interval;
 
 /// Who a daemon is and how it is set up.
 #[derive(Clone, Debug)]
@@ -143,13 +143,16 @@
         }));
         tokio::spawn(serve_peers(listener, settings.peer_key.clone(), Arc::clone(&gateway)));
         tokio::spawn(health::probe(Arc::clone(&outside), Arc::clone(&health)));
-        tokio::spawn(scheduler::check_liveness(
+        tokio::spawn(leader_view::check_liveness(
             Arc::clone(&gateway),
             peers.clone(),
-            duty::is_underprovisioned(settings.cores),
+            election::is_underprovisioned(settings.cores),
+        ));
+        let advisors = Arc::new(AdvisorDispatcher::new(
+            Arc::clone(&outside),
+            peers.clone(),
+            settings.address.clone(),
         ));
-        let advisors =
-            Arc::new(Advisors::new(Arc::clone(&outside), peers.clone(), settings.address.clone()));
         let watch = Watch {
             settings: settings.clone(),
             outside,
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -7,26 +7,26 @@
 use tokio::sync::mpsc;
 
 use crate::NodeSettings;
-use crate::advisors::Advisors;
+use crate::advisor_dispatcher::AdvisorDispatcher;
 use crate::clock::steady_ms;
 use crate::clock::unix_ms;
-use crate::commit::DUTY_KEY;
-use crate::commit::Held;
+use crate::commit::HeldLease;
+use crate::commit::LEADER_LEASE_KEY;
 use crate::commit::encode;
-use crate::duty::DutyRow;
-use crate::duty::DutyView;
-use crate::duty::Fitness;
-use crate::duty::is_underprovisioned;
+use crate::election::Candidate;
+use crate::election::LeaderLease;
+use crate::election::LeaderLeaseView;
+use crate::election::is_underprovisioned;
 use crate::gateway::Gateway;
 use crate::health::StoreHealth;
-use crate::lead::Lead;
+use crate::leader::Leader;
+use crate::leader_view::Liveness;
 use crate::message::Query;
 use crate::outside::Outside;
 use crate::outside::Row;
 use crate::outside::StoreError;
 use crate::outside::Table;
 use crate::outside::Transaction;
-use crate::scheduler::Liveness;
 
 /// How long a look at the duty's row waits for a change.
 const LOOK_WAIT_MS: u64 = 1_000;
@@ -52,7 +52,7 @@
     /// Told who schedules.
     pub gateway: Arc<Gateway<O>>,
     /// Told which daemons there are.
-    pub advisors: Arc<Advisors<O>>,
+    pub advisors: Arc<AdvisorDispatcher<O>>,
     /// The way to other daemons.
     pub peers: Peers,
     /// Fires when the daemon stops.
@@ -71,7 +71,7 @@
             Arc::clone(&self.health),
             self.settings.clone(),
         ));
-        let mut view = DutyView::new(steady_ms());
+        let mut view = LeaderLeaseView::new(steady_ms());
         let mut after = None;
         loop {
             if *stop.borrow() {
@@ -97,7 +97,7 @@
                 }
             };
             self.lead(held).await;
-            view = DutyView::new(steady_ms());
+            view = LeaderLeaseView::new(steady_ms());
             after = None;
         }
         self.withdraw().await;
@@ -112,8 +112,8 @@
         }
     }
 
-    fn fitness(&self) -> Fitness {
-        Fitness {
+    fn fitness(&self) -> Candidate {
+        Candidate {
             name: self.settings.name.clone(),
             cores: self.settings.cores,
             link_mbps: self.settings.link_mbps,
@@ -121,12 +121,12 @@
         }
     }
 
-    fn claim_ms(&self, view: &DutyView) -> u64 {
+    fn claim_ms(&self, view: &LeaderLeaseView) -> u64 {
         view.claim_ms(&self.fitness(), self.gateway.scheduler_liveness(view.epoch()))
     }
 
     /// Looks at the duty's row once, waiting for a change as long as no claim is due.
-    async fn look(&self, view: &mut DutyView, after: &mut Option<u64>) -> bool {
+    async fn look(&self, view: &mut LeaderLeaseView, after: &mut Option<u64>) -> bool {
         let liveness = self.gateway.scheduler_liveness(view.epoch());
         let mut scheduler = self.gateway.watch_scheduler();
         let epoch = view.epoch();
@@ -141,7 +141,7 @@
         match result {
             Ok(None) => true,
             Ok(Some(row)) => {
-                view.saw(row, steady_ms());
+                view.observe(row, steady_ms());
                 self.notify_gateway(view);
                 true
             }
@@ -161,7 +161,7 @@
     /// Leaves the row alone for a while, if others are there to miss its holder first. The
     /// row changes with each renewal, and to follow it is most of what hundreds of daemons
     /// ask of the store.
-    async fn rest(&self, view: &DutyView) {
+    async fn rest(&self, view: &LeaderLeaseView) {
         let epoch = view.epoch();
         let well = |liveness| liveness == Liveness::Healthy;
         if !is_underprovisioned(self.settings.cores)
@@ -181,7 +181,7 @@
     async fn read_duty(
         &self,
         after: &mut Option<u64>,
-    ) -> Result<Option<Option<(DutyRow, u64)>>, StoreError> {
+    ) -> Result<Option<Option<(LeaderLease, u64)>>, StoreError> {
         let rows = self.outside.read_all(Table::Duty).await?;
         *after = Some(rows.version);
         Ok(Some(rows.rows.iter().find_map(duty_row)))
@@ -190,26 +190,30 @@
     async fn follow_duty(
         &self,
         version: u64,
-        view: &DutyView,
+        view: &LeaderLeaseView,
         after: &mut Option<u64>,
-    ) -> Result<Option<Option<(DutyRow, u64)>>, StoreError> {
+    ) -> Result<Option<Option<(LeaderLease, u64)>>, StoreError> {
         let due_ms = self.claim_ms(view).saturating_sub(steady_ms());
         let wait_ms = due_ms.min(LOOK_WAIT_MS);
         let rows = self.outside.follow(Table::Duty, version, wait_ms).await?;
         *after = Some(rows.version);
-        let newest = rows.rows.iter().rev().find(|row| row.key == DUTY_KEY);
+        let newest = rows.rows.iter().rev().find(|row| row.key == LEADER_LEASE_KEY);
         Ok(newest.map(duty_row))
     }
 
-    fn notify_gateway(&self, view: &DutyView) {
+    fn notify_gateway(&self, view: &LeaderLeaseView) {
         let Some((row, _)) = &view.row else { return };
         let address = (!row.released).then(|| row.address.clone());
         self.gateway.saw_scheduler(row.epoch, address);
     }
 
-    async fn claim(&self, view: &DutyView, incarnation: u64) -> Result<Held, StoreError> {
+    async fn claim(
+        &self,
+        view: &LeaderLeaseView,
+        incarnation: u64,
+    ) -> Result<HeldLease, StoreError> {
         let (version, epoch) = view.next_epoch();
-        let row = DutyRow {
+        let row = LeaderLease {
             holder: self.settings.name.clone(),
             incarnation,
             address: self.settings.address.clone(),
@@ -219,8 +223,8 @@
             earlier_extends_ms: view.earlier_extends_ms(&self.settings.name, steady_ms()),
         };
         let transaction = Transaction {
-            expect: vec![(Table::Duty, DUTY_KEY.to_owned(), version)],
-            put: vec![(Table::Duty, DUTY_KEY.to_owned(), encode(&row))],
+            expect: vec![(Table::Duty, LEADER_LEASE_KEY.to_owned(), version)],
+            put: vec![(Table::Duty, LEADER_LEASE_KEY.to_owned(), encode(&row))],
             remove: Vec::new(),
         };
         match self.health.write(self.outside.transact(&transaction)).await {
@@ -229,7 +233,7 @@
                 let silent_ms = steady_ms().saturating_sub(view.changed_ms);
                 let earlier_extends_ms = row.earlier_extends_ms;
                 tracing::info!(epoch, before, silent_ms, earlier_extends_ms, "duty taken over");
-                Ok(Held { row, version, won_ms: steady_ms() })
+                Ok(HeldLease { row, version, acquired_ms: steady_ms() })
             }
             Err(error) => {
                 // Without an answer the claim may still succeed; the next look tells.
@@ -239,21 +243,21 @@
         }
     }
 
-    async fn lead(&self, held: Held) {
-        let epoch = held.row.epoch;
+    async fn lead(&self, lease: HeldLease) {
+        let epoch = lease.row.epoch;
         let (queries, inbox) = mpsc::channel(QUERIES_MAX);
         self.gateway.saw_scheduler(epoch, Some(self.settings.address.clone()));
         self.gateway.set_scheduler_here(Some(queries.clone()));
         self.leading.send_replace(Some(queries));
-        let lead = Lead {
+        let lead = Leader {
             outside: Arc::clone(&self.outside),
-            held,
+            lease,
             limits: self.settings.limits,
             health: Arc::clone(&self.health),
             advisors: Arc::clone(&self.advisors),
             peers: self.peers.clone(),
             gateway: Arc::clone(&self.gateway),
-            me: self.settings.member(),
+            member: self.settings.member(),
             queries: inbox,
             stop: self.stop.clone(),
         };
@@ -279,8 +283,8 @@
     }
 }
 
-fn duty_row(row: &Row) -> Option<(DutyRow, u64)> {
-    let value = row.value.as_ref().filter(|_| row.key == DUTY_KEY)?;
+fn duty_row(row: &Row) -> Option<(LeaderLease, u64)> {
+    let value = row.value.as_ref().filter(|_| row.key == LEADER_LEASE_KEY)?;
     match serde_json::from_slice(value) {
         Ok(duty) => Some((duty, row.version)),
         Err(error) => {
--- a/crates/node/tests/advisors.rs
+++ b/crates/node/tests/advisors.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stoatwell_node::Advisors;
+use stoatwell_node::AdvisorDispatcher;
 use stoatwell_peer::Peers;
 use stoatwell_peer::Traffic;
 use stoatwell_pool::JobId;
@@ -24,7 +24,7 @@
 async fn questions_of_a_duty_that_ended_hold_nothing_up() {
     let outside = Arc::new(Fake::default());
     let peers = Peers::new("test", Traffic::default());
-    let advisors = Arc::new(Advisors::new(Arc::clone(&outside), peers, "me".to_owned()));
+    let advisors = Arc::new(AdvisorDispatcher::new(Arc::clone(&outside), peers, "me".to_owned()));
     outside.hang_advice(true);
     for _ in 0..4 {
         let asking = Arc::clone(&advisors);
--- a/crates/node/tests/duty.rs
+++ b/crates/node/tests/duty.rs
@@ -1,20 +1,20 @@
 //! When a daemon may claim the duty.
 
-use stoatwell_node::DutyRow;
-use stoatwell_node::DutyView;
-use stoatwell_node::Fitness;
-use stoatwell_node::LEASE_MS;
+use stoatwell_node::Candidate;
+use stoatwell_node::FAILED_LEADER_TIMEOUT_MS;
+use stoatwell_node::LEADER_LEASE_MS;
+use stoatwell_node::LeaderLease;
+use stoatwell_node::LeaderLeaseView;
 use stoatwell_node::Liveness;
-use stoatwell_node::QUIET_MS;
 use stoatwell_node::probe_interval;
 use stoatwell_pool::EXTEND_MS;
 
-fn fit(name: &str, store_answer_ms: u64) -> Fitness {
-    Fitness { name: name.to_owned(), cores: 0.5, link_mbps: 1_000.0, store_answer_ms }
+fn fit(name: &str, store_answer_ms: u64) -> Candidate {
+    Candidate { name: name.to_owned(), cores: 0.5, link_mbps: 1_000.0, store_answer_ms }
 }
 
-fn row(holder: &str) -> DutyRow {
-    DutyRow {
+fn row(holder: &str) -> LeaderLease {
+    LeaderLease {
         holder: holder.to_owned(),
         incarnation: 1,
         address: "10.0.0.1:7720".to_owned(),
@@ -29,14 +29,14 @@
 /// the holder could still renew it, or two would schedule at once.
 #[test]
 fn a_silent_holder_keeps_the_duty_for_its_lease() {
-    let mut view = DutyView::new(0);
-    view.saw(Some((row("other"), 10)), 1_000);
-    assert!(view.claim_ms(&fit("me", 5), Liveness::Unknown) >= 1_000 + LEASE_MS);
-    view.saw(Some((row("other"), 11)), 1_500);
-    assert!(view.claim_ms(&fit("me", 5), Liveness::Unknown) >= 1_500 + LEASE_MS);
-    view.saw(Some((row("other"), 11)), 2_500);
+    let mut view = LeaderLeaseView::new(0);
+    view.observe(Some((row("other"), 10)), 1_000);
+    assert!(view.claim_ms(&fit("me", 5), Liveness::Unknown) >= 1_000 + LEADER_LEASE_MS);
+    view.observe(Some((row("other"), 11)), 1_500);
+    assert!(view.claim_ms(&fit("me", 5), Liveness::Unknown) >= 1_500 + LEADER_LEASE_MS);
+    view.observe(Some((row("other"), 11)), 2_500);
     assert!(
-        view.claim_ms(&fit("me", 5), Liveness::Unknown) < 2_500 + LEASE_MS,
+        view.claim_ms(&fit("me", 5), Liveness::Unknown) < 2_500 + LEADER_LEASE_MS,
         "the same version is no news"
     );
 }
@@ -44,10 +44,10 @@
 /// A duty that was given up, or that a daemon's former self held, waits for nobody.
 #[test]
 fn a_free_duty_is_claimed_at_once() {
-    let mut view = DutyView::new(0);
-    view.saw(Some((DutyRow { released: true, ..row("other") }, 10)), 1_000);
+    let mut view = LeaderLeaseView::new(0);
+    view.observe(Some((LeaderLease { released: true, ..row("other") }, 10)), 1_000);
     assert!(view.claim_ms(&fit("me", 5), Liveness::Unknown) < 1_000 + 200);
-    view.saw(Some((row("me"), 12)), 2_000);
+    view.observe(Some((row("me"), 12)), 2_000);
     assert!(view.claim_ms(&fit("me", 5), Liveness::Unknown) < 2_000 + 200);
     assert_eq!(view.next_epoch(), (12, 4));
 }
@@ -59,8 +59,8 @@
 fn the_fittest_daemon_goes_first() {
     let near = fit("a", 8).delay_ms();
     let far = fit("a", 32).delay_ms();
-    let weak = Fitness { cores: 0.12, ..fit("a", 8) }.delay_ms();
-    let narrow = Fitness { link_mbps: 10.0, ..fit("a", 8) }.delay_ms();
+    let weak = Candidate { cores: 0.12, ..fit("a", 8) }.delay_ms();
+    let narrow = Candidate { link_mbps: 10.0, ..fit("a", 8) }.delay_ms();
     assert!(near + 100 < far && near + 100 < weak && near + 100 < narrow);
 }
 
@@ -70,18 +70,18 @@
 /// the same daemon, extends nothing, and work must not wait for it.
 #[test]
 fn a_claim_tells_how_long_earlier_schedulers_may_extend_leases() {
-    let mut view = DutyView::new(0);
+    let mut view = LeaderLeaseView::new(0);
     assert_eq!(view.earlier_extends_ms("me", 500), 0, "nobody was there");
-    view.saw(Some((row("other"), 10)), 1_000);
-    let after_lease_ms = view.earlier_extends_ms("me", 1_000 + LEASE_MS);
-    assert!((EXTEND_MS - LEASE_MS..=EXTEND_MS).contains(&after_lease_ms));
-    view.saw(Some((row("me"), 11)), 3_000);
+    view.observe(Some((row("other"), 10)), 1_000);
+    let after_lease_ms = view.earlier_extends_ms("me", 1_000 + LEADER_LEASE_MS);
+    assert!((EXTEND_MS - LEADER_LEASE_MS..=EXTEND_MS).contains(&after_lease_ms));
+    view.observe(Some((row("me"), 11)), 3_000);
     assert_eq!(view.earlier_extends_ms("me", 3_100), 0);
-    view.saw(Some((DutyRow { released: true, ..row("other") }, 12)), 4_000);
+    view.observe(Some((LeaderLease { released: true, ..row("other") }, 12)), 4_000);
     assert_eq!(view.earlier_extends_ms("me", 4_050), 0);
     // The one before the last one may still be there.
-    let earlier = DutyRow { released: true, earlier_extends_ms: 2_000, ..row("other") };
-    view.saw(Some((earlier, 13)), 5_000);
+    let earlier = LeaderLease { released: true, earlier_extends_ms: 2_000, ..row("other") };
+    view.observe(Some((earlier, 13)), 5_000);
     assert_eq!(view.earlier_extends_ms("me", 5_500), 1_500);
 }
 
@@ -92,12 +92,15 @@
 #[test]
 fn a_holder_that_is_gone_or_cut_off_is_replaced_soon() {
     for liveness in [Liveness::Gone, Liveness::Isolated] {
-        let mut view = DutyView::new(0);
-        view.saw(Some((row("other"), 10)), 1_000);
+        let mut view = LeaderLeaseView::new(0);
+        view.observe(Some((row("other"), 10)), 1_000);
         let claim_ms = view.claim_ms(&fit("me", 5), liveness);
-        assert!((1_000 + QUIET_MS..1_900).contains(&claim_ms), "{liveness}: {claim_ms}");
-        view.saw(Some((row("other"), 11)), 1_500);
-        assert!(view.claim_ms(&fit("me", 5), liveness) >= 1_500 + QUIET_MS);
+        assert!(
+            (1_000 + FAILED_LEADER_TIMEOUT_MS..1_900).contains(&claim_ms),
+            "{liveness}: {claim_ms}"
+        );
+        view.observe(Some((row("other"), 11)), 1_500);
+        assert!(view.claim_ms(&fit("me", 5), liveness) >= 1_500 + FAILED_LEADER_TIMEOUT_MS);
     }
 }
 
@@ -106,11 +109,11 @@
 /// leave callers waiting for a new scheduler on top of the outage.
 #[test]
 fn time_without_the_store_does_not_count_against_the_holder() {
-    let mut view = DutyView::new(0);
-    view.saw(Some((row("other"), 10)), 1_000);
+    let mut view = LeaderLeaseView::new(0);
+    view.observe(Some((row("other"), 10)), 1_000);
     view.note_unwritable(5_000);
-    assert!(view.claim_ms(&fit("me", 5), Liveness::Healthy) >= 5_000 + LEASE_MS);
-    assert!(view.claim_ms(&fit("me", 5), Liveness::Isolated) >= 5_000 + QUIET_MS);
+    assert!(view.claim_ms(&fit("me", 5), Liveness::Healthy) >= 5_000 + LEADER_LEASE_MS);
+    assert!(view.claim_ms(&fit("me", 5), Liveness::Isolated) >= 5_000 + FAILED_LEADER_TIMEOUT_MS);
 }
 
 /// Guards against a leader that is kept busy by hundreds of daemons asking whether it lives.
@@ -129,13 +132,13 @@
 /// the store is down, so that whichever comes first leads afterwards, however weak.
 #[test]
 fn after_a_claim_that_failed_the_holder_and_the_fittest_go_first() {
-    let weak = Fitness { cores: 0.12, link_mbps: 10.0, ..fit("weak", 5) };
+    let weak = Candidate { cores: 0.12, link_mbps: 10.0, ..fit("weak", 5) };
     let strong = fit("strong", 5);
-    let mut view = DutyView::new(0);
-    view.saw(Some((row("other"), 10)), 1_000);
+    let mut view = LeaderLeaseView::new(0);
+    view.observe(Some((row("other"), 10)), 1_000);
     view.note_unwritable(4_000);
     for liveness in [Liveness::Healthy, Liveness::Isolated, Liveness::Gone] {
-        assert!(view.claim_ms(&strong, liveness) >= 4_000 + QUIET_MS);
+        assert!(view.claim_ms(&strong, liveness) >= 4_000 + FAILED_LEADER_TIMEOUT_MS);
         assert!(view.claim_ms(&weak, liveness) > view.claim_ms(&strong, liveness) + 500);
     }
 }
@@ -144,8 +147,8 @@
 /// stand back for nearer ones that may not claim its row yet.
 #[test]
 fn a_daemon_claims_the_row_of_its_former_self_at_once() {
-    let far = Fitness { cores: 0.12, ..fit("me", 60) };
-    let mut view = DutyView::new(0);
-    view.saw(Some((row("me"), 10)), 1_000);
+    let far = Candidate { cores: 0.12, ..fit("me", 60) };
+    let mut view = LeaderLeaseView::new(0);
+    view.observe(Some((row("me"), 10)), 1_000);
     assert_eq!(view.claim_ms(&far, Liveness::Unknown), 1_000);
 }
--- a/crates/node/tests/executors.rs
+++ b/crates/node/tests/executors.rs
@@ -118,7 +118,7 @@
     let (_executor, address) = daemon(Fake::with_worker());
     Runtime::new().expect("a runtime").block_on(async {
         let (executors, mut inbox) = leader(Fake::default(), &address);
-        executors.opened().await;
+        executors.wait_until_open().await;
         executors.call(Some(&ZoneName::new("z")), hold(7));
         let event = next(&mut inbox).await;
         assert!(matches!(event, Event::Held { turn: 7, reply: Ok(_), .. }), "{event:?}");
@@ -131,7 +131,7 @@
     let (executor, address) = daemon(Fake::with_worker());
     Runtime::new().expect("a runtime").block_on(async {
         let (executors, mut inbox) = leader(Fake::default(), &address);
-        executors.opened().await;
+        executors.wait_until_open().await;
         // Its answer does not come before the executor is gone.
         executors.call(Some(&ZoneName::new("z")), start(0, &Arc::from("work")));
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -153,7 +153,7 @@
     let (_executor, address) = daemon(Fake::default());
     Runtime::new().expect("a runtime").block_on(async {
         let (executors, mut inbox) = leader(Fake::with_worker(), &address);
-        executors.opened().await;
+        executors.wait_until_open().await;
         let zone = ZoneName::new("z");
         executors.call(Some(&zone), hold(1));
         let event = next(&mut inbox).await;
@@ -226,7 +226,7 @@
             [(100, false), (400, true), (240, true), (100, false)]
         {
             executors.update_load(deciding_ms, 1_000);
-            executors.opened().await;
+            executors.wait_until_open().await;
             executors.call(Some(&zone), hold(deciding_ms));
             let event = next(&mut inbox).await;
             // The leader reaches no worker by itself here.
@@ -246,7 +246,7 @@
         member("strong", "z", 0.5),
         member("far", "y", 0.5),
     ];
-    let order = plan::order_of_use(&ZoneName::new("z"), &members, &leader);
+    let order = plan::executor_candidates(&ZoneName::new("z"), &members, &leader);
     let addresses: Vec<&str> = order.iter().map(|member| member.address.as_str()).collect();
     assert_eq!(addresses, ["strong", "weak"]);
     assert_eq!(plan::executors_wanted(180), 2);
--- a/crates/node/tests/inbox.rs
+++ b/crates/node/tests/inbox.rs
@@ -5,7 +5,7 @@
 use stoatwell_model::WorkerId;
 use stoatwell_node::Inbox;
 use stoatwell_node::Message;
-use stoatwell_node::Turn;
+use stoatwell_node::MessageBudget;
 use stoatwell_node::inbox;
 use stoatwell_pool::Event;
 use stoatwell_pool::JobId;
@@ -17,8 +17,8 @@
     Event::Committed { batch: 1, part: 0 }
 }
 
-fn stretch(inbox: &mut Inbox, turn: &mut Turn) -> Vec<Message> {
-    std::iter::from_fn(|| inbox.take(turn)).collect()
+fn stretch(inbox: &mut Inbox, turn: &mut MessageBudget) -> Vec<Message> {
+    std::iter::from_fn(|| inbox.try_recv(turn)).collect()
 }
 
 /// Guards against starts on a worker whose leaving waits behind a backlog of answers.
@@ -32,7 +32,7 @@
     senders.notify(Event::Cancelled { job: JobId(1) });
     senders.notify(Event::Customers { limits: Vec::new() });
     senders.depose();
-    let mut turn = Turn::after(Duration::ZERO);
+    let mut turn = MessageBudget::after_decision(Duration::ZERO);
     let first: Vec<Message> = stretch(&mut inbox, &mut turn).into_iter().take(4).collect();
     assert!(matches!(first[0], Message::Event(Event::Unlisted { .. })), "{first:?}");
     assert!(matches!(first[1], Message::Event(Event::Cancelled { .. })), "{first:?}");
@@ -48,12 +48,12 @@
     for _ in 0..BACKLOG {
         senders.notify(answer());
     }
-    let mut after_short = Turn::after(Duration::ZERO);
+    let mut after_short = MessageBudget::after_decision(Duration::ZERO);
     let mut handled = stretch(&mut inbox, &mut after_short).len();
-    assert!(!after_short.goes_on());
-    let mut after_long = Turn::after(Duration::from_secs(5));
+    assert!(!after_short.next_burst());
+    let mut after_long = MessageBudget::after_decision(Duration::from_secs(5));
     handled += stretch(&mut inbox, &mut after_long).len();
-    while after_long.goes_on() {
+    while after_long.next_burst() {
         handled += stretch(&mut inbox, &mut after_long).len();
     }
     assert_eq!(handled, BACKLOG);
@@ -67,10 +67,10 @@
     for _ in 0..BACKLOG {
         senders.notify(answer());
     }
-    let mut turn = Turn::after(Duration::from_secs(5));
+    let mut turn = MessageBudget::after_decision(Duration::from_secs(5));
     let handled = stretch(&mut inbox, &mut turn).len();
     assert!(handled < 1_000, "{handled}");
-    assert!(turn.goes_on());
+    assert!(turn.next_burst());
 }
 
 /// Guards against a message that nobody waits for while the leader is idle.
