--- a/crates/node/src/commit/fences.rs
+++ b/crates/node/src/commit/fences.rs
@@ -1,4 +1,4 @@
-//! The fences of the parts that jobs lie in.
+//! Fencing of the store's partitions that hold the rows of jobs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,67 +17,67 @@
 use crate::outside::Table;
 use crate::outside::Transaction;
 
-/// Parts fenced at one time.
-const AT_ONCE: usize = 16;
-/// After a call that the store refused or did not answer.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Number of partitions that are fenced concurrently.
+const CONCURRENT_CLAIMS_MAX: usize = 16;
+/// Delay before a call that the store refused or did not answer is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Who may write to a part.
+/// The leader that may write to a partition.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Fence {
-    /// The daemon.
+    /// Name of the leader's daemon.
     pub holder: String,
-    /// Its start.
+    /// When the leader's process started, in Unix milliseconds.
     pub incarnation: u64,
-    /// Rises with each leader.
+    /// Rises with each change of leader.
     pub epoch: u64,
-    /// Rises with each rewriting.
+    /// Rises each time the same leader rewrites the fence.
     pub beat: u64,
 }
 
 impl Fence {
-    /// Whether it is of the same leader.
-    pub fn is_of(&self, other: &Self) -> bool {
+    /// Whether both fences were written by the same leader.
+    pub fn is_same_leader(&self, other: &Self) -> bool {
         self.holder == other.holder
             && self.incarnation == other.incarnation
             && self.epoch == other.epoch
     }
 }
 
-/// The fence in a row, and its version.
+/// Decodes a fence; returns it with the version of its row.
 pub(crate) fn read_fence(row: &Row) -> Option<(Fence, u64)> {
     let value = row.value.as_ref()?;
     match serde_json::from_slice(value) {
         Ok(fence) => Some((fence, row.version)),
         Err(error) => {
-            tracing::warn!(%error, key = row.key, "a fence cannot be read");
+            tracing::warn!(%error, key = row.key, "cannot decode the fence of a partition");
             None
         }
     }
 }
 
-/// Puts this leader's fence on all parts; gives their versions, or `None` if a later
-/// leader was there first.
+/// Writes this leader's fence to all partitions. Returns the versions of the fences by
+/// partition, or `None` if a later leader has fenced a partition already.
 pub(crate) async fn claim_fences<O: Outside>(
     outside: &Arc<O>,
     health: &Arc<StoreHealth>,
-    mine: &Fence,
+    own_fence: &Fence,
 ) -> Option<Vec<u64>> {
-    let turns = Arc::new(Semaphore::new(AT_ONCE));
+    let permits = Arc::new(Semaphore::new(CONCURRENT_CLAIMS_MAX));
     let mut claims = JoinSet::new();
     for part in 0..PARTS {
         let (outside, health) = (Arc::clone(outside), Arc::clone(health));
-        let turns = Arc::clone(&turns);
-        let mine = mine.clone();
+        let permits = Arc::clone(&permits);
+        let own_fence = own_fence.clone();
         claims.spawn(async move {
-            let _turn = turns.acquire().await;
-            (part, claim(outside.as_ref(), &health, part, &mine).await)
+            let _permit = permits.acquire().await;
+            (part, claim(outside.as_ref(), &health, part, &own_fence).await)
         });
     }
     let mut versions = vec![0; PARTS];
     while let Some(claimed) = claims.join_next().await {
         let Ok((part, version)) = claimed else {
-            tracing::error!("a claim of a part ended early");
+            tracing::error!("a task that fences a partition ended early; the claim is given up");
             return None;
         };
         versions[part] = version?;
@@ -89,41 +89,45 @@
     outside: &impl Outside,
     health: &StoreHealth,
     part: usize,
-    mine: &Fence,
+    own_fence: &Fence,
 ) -> Option<u64> {
     let key = part.to_string();
     let mut expected = 0;
     loop {
         let transaction = Transaction {
             expect: vec![(Table::Fences, key.clone(), expected)],
-            put: vec![(Table::Fences, key.clone(), encode(mine))],
+            put: vec![(Table::Fences, key.clone(), encode(own_fence))],
             remove: Vec::new(),
         };
         match health.write(outside.transact(&transaction)).await {
             Ok(version) => return Some(version),
             Err(StoreError::Conflict(rows)) => {
-                let there = rows.iter().find(|(table, row)| {
+                let current_row = rows.iter().find(|(table, row)| {
                     *table == Table::Fences && row.key == key && row.version > 0
                 });
-                let Some((_, row)) = there else {
+                let Some((_, row)) = current_row else {
                     expected = 0;
                     continue;
                 };
                 let fence = read_fence(row);
                 if let Some((fence, version)) = &fence {
-                    if fence.is_of(mine) {
+                    if fence.is_same_leader(own_fence) {
                         return Some(*version);
                     }
-                    if fence.epoch >= mine.epoch {
-                        tracing::warn!(part, epoch = fence.epoch, "a later leader has the part");
+                    if fence.epoch >= own_fence.epoch {
+                        tracing::warn!(
+                            part,
+                            epoch = fence.epoch,
+                            "a later leader has fenced the partition; the claim is given up"
+                        );
                         return None;
                     }
                 }
                 expected = row.version;
             }
             Err(error) => {
-                tracing::warn!(part, %error, "a part cannot be fenced yet");
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tracing::warn!(part, %error, "cannot fence a partition; retrying");
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/crates/node/src/commit/renew.rs
+++ b/crates/node/src/commit/renew.rs
@@ -1,4 +1,4 @@
-//! Keeps the row that says who leads.
+//! Renewal of the leader lease.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -19,23 +19,23 @@
 use crate::outside::Table;
 use crate::outside::Transaction;
 
-/// The key of the one row of [`Table::Duty`].
+/// Key of the only row of [`Table::Duty`], which holds the leader lease.
 pub(crate) const LEADER_LEASE_KEY: &str = "scheduler";
-/// After a write that the store refused or did not answer.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a write that the store refused or did not answer is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The duty as this daemon holds it.
+/// The leader lease, as held by this daemon.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldLease {
-    /// The row.
+    /// The row as it was last written, but with `earlier_extends_ms` as of `acquired_ms`.
     pub row: LeaderLease,
-    /// Its version.
+    /// Version of the row in the store.
     pub version: u64,
-    /// When it was won.
+    /// When this daemon acquired the lease.
     pub acquired_ms: u64,
 }
 
-/// Renews the duty until another daemon holds it or `stop` fires; then it is released.
+/// Renews the lease until another daemon holds it or `stop` fires. On `stop` it is released.
 pub(crate) async fn renew_lease<O: Outside>(
     outside: Arc<O>,
     lease: HeldLease,
@@ -43,7 +43,7 @@
     mut stop: watch::Receiver<bool>,
     renewed_ms: Arc<AtomicU64>,
 ) {
-    let mut keeper = Keeper { outside, lease, health, renewed_ms };
+    let mut renewer = LeaseRenewer { outside, lease, health, renewed_ms };
     let mut renew_at = Instant::now();
     loop {
         renew_at += Duration::from_millis(RENEW_INTERVAL_MS);
@@ -53,74 +53,78 @@
             _ = stop.wait_for(|stop| *stop) => break,
             () = tokio::time::sleep_until(renew_at) => {}
         }
-        if !keeper.write().await {
+        if !renewer.write().await {
             return;
         }
     }
-    keeper.lease.row.released = true;
-    let released = keeper.write().await;
-    tracing::info!(epoch = keeper.lease.row.epoch, released, "duty given up");
+    renewer.lease.row.released = true;
+    let released = renewer.write().await;
+    tracing::info!(epoch = renewer.lease.row.epoch, released, "duty given up");
 }
 
-struct Keeper<O> {
+struct LeaseRenewer<O> {
     outside: Arc<O>,
     lease: HeldLease,
     health: Arc<StoreHealth>,
-    /// When a write under the duty last succeeded.
+    /// When the newest successful renewal was sent.
     renewed_ms: Arc<AtomicU64>,
 }
 
-impl<O: Outside> Keeper<O> {
-    /// Writes until it is done; `false` when another daemon holds the duty.
+impl<O: Outside> LeaseRenewer<O> {
+    /// Writes the row, with retries; returns `false` when another daemon holds the lease.
     async fn write(&mut self) -> bool {
         loop {
             let transaction = self.transaction();
             let sent_ms = steady_ms();
             match self.health.write(self.outside.transact(&transaction)).await {
                 Ok(version) => {
-                    // Others may have seen the row change any time since.
+                    // Others may have seen the row change at any time since it was sent.
                     self.renewed_ms.store(sent_ms, Ordering::Relaxed);
                     self.lease.row.beat += 1;
                     self.lease.version = version;
                     return true;
                 }
                 Err(StoreError::Conflict(rows)) => {
-                    if !self.is_ours(&rows) {
+                    if !self.is_own_row(&rows) {
                         return false;
                     }
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "the leader's lease has to be renewed again");
-                    tokio::time::sleep(RETRY_PAUSE).await;
+                    tracing::warn!(%error, "cannot write the leader lease; retrying");
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Whether the row that is there now is one that this daemon wrote, with
-    /// a write whose answer was lost.
-    fn is_ours(&mut self, rows: &[(Table, Row)]) -> bool {
-        let there =
+    /// Whether this daemon wrote the row that is in the store now, by a write whose response
+    /// was lost. If so, later writes expect that row's version.
+    fn is_own_row(&mut self, rows: &[(Table, Row)]) -> bool {
+        let current_row =
             rows.iter().find(|(table, row)| *table == Table::Duty && row.key == LEADER_LEASE_KEY);
-        let read = there.and_then(|(_, row)| Some((row.version, row.value.as_ref()?)));
+        let read = current_row.and_then(|(_, row)| Some((row.version, row.value.as_ref()?)));
         let Some((version, value)) = read else { return false };
         let Ok(row) = serde_json::from_slice::<LeaderLease>(value) else { return false };
-        let ours = row.holder == self.lease.row.holder
+        let is_own = row.holder == self.lease.row.holder
             && row.incarnation == self.lease.row.incarnation
             && row.epoch == self.lease.row.epoch;
-        if ours {
+        if is_own {
             self.lease.version = version;
             self.lease.row.beat = row.beat + 1;
         } else {
-            tracing::warn!(holder = row.holder, epoch = row.epoch, "another daemon schedules now");
+            tracing::warn!(
+                holder = row.holder,
+                epoch = row.epoch,
+                "leader lease lost: another daemon holds it"
+            );
         }
-        ours
+        is_own
     }
 
     fn next_row(&self) -> LeaderLease {
         let row = &self.lease.row;
-        let held_ms = steady_ms().saturating_sub(self.lease.acquired_ms);
-        let earlier_extends_ms = row.earlier_extends_ms.saturating_sub(held_ms);
+        let since_acquired_ms = steady_ms().saturating_sub(self.lease.acquired_ms);
+        let earlier_extends_ms = row.earlier_extends_ms.saturating_sub(since_acquired_ms);
         LeaderLease { beat: row.beat + 1, earlier_extends_ms, ..row.clone() }
     }
 
--- a/crates/node/src/commit/writer.rs
+++ b/crates/node/src/commit/writer.rs
@@ -1,4 +1,4 @@
-//! Writes the leader's batches, each part under its fence.
+//! Writes the leader's batches; each partition is protected by its fence.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -25,89 +25,89 @@
 use crate::outside::Table;
 use crate::outside::Transaction;
 
-/// After a write that the store refused or did not answer.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// A write that took longer is logged; the usual ones take 10 to 40 ms.
-const SLOW: Duration = Duration::from_millis(100);
-/// Submissions that the store turned away this often are given up: their callers still
-/// have time to come back.
+/// Delay before a write that the store refused or did not answer is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Writes that take longer are logged; usually they take 10 to 40 ms.
+const SLOW_WRITE: Duration = Duration::from_millis(100);
+/// Submissions that the store refused this often are rejected, while their callers still
+/// have time to retry.
 const REFUSALS_MAX: u32 = 4;
-/// Tries without answer after which callers are told that nobody can tell.
-const DOUBTS_MAX: u32 = 2;
+/// Attempts without a response after which callers are told that the outcome is unknown.
+const UNANSWERED_MAX: u32 = 2;
 
-/// Writes batches for one leader.
+/// Writes the batches of one leader.
 #[derive(Debug)]
 pub(crate) struct Writer<O> {
     pub outside: Arc<O>,
     pub health: Arc<StoreHealth>,
     /// This leader's fence.
     pub fence: Fence,
-    /// The versions of the fences.
-    pub versions: Mutex<Vec<u64>>,
+    /// Versions of the fences, by partition.
+    pub fence_versions: Mutex<Vec<u64>>,
     /// The leader's inbox.
     pub messages: InboxSender,
 }
 
-/// What a try to write came to.
-enum Tried {
+/// The outcome of one attempt to write.
+enum WriteOutcome {
     Done,
-    /// The rows that stood in the way were dealt with.
-    Again,
+    /// A conflict was resolved; the write can be retried at once.
+    Retry,
     Refused,
     InDoubt,
     Deposed,
 }
 
 impl<O: Outside> Writer<O> {
-    /// Writes a batch: at first as one transaction, and each part by itself if that fails.
+    /// Writes a batch: first as one transaction and, if that fails, each partition separately.
     pub async fn write(self: Arc<Self>, batch: u64, mut writes: Vec<PartWrite>) {
         loop {
             match self.try_write(&mut writes, false).await {
-                Tried::Done => {
+                WriteOutcome::Done => {
                     for write in &writes {
-                        self.committed(batch, write.part);
+                        self.notify_committed(batch, write.part);
                     }
                     return;
                 }
-                Tried::Again => {}
-                Tried::Deposed => return self.deposed(),
-                failed @ (Tried::Refused | Tried::InDoubt) => {
-                    let in_doubt = matches!(failed, Tried::InDoubt);
-                    let mut parts = JoinSet::new();
+                WriteOutcome::Retry => {}
+                WriteOutcome::Deposed => return self.notify_deposed(),
+                failed @ (WriteOutcome::Refused | WriteOutcome::InDoubt) => {
+                    let in_doubt = matches!(failed, WriteOutcome::InDoubt);
+                    let mut partitions = JoinSet::new();
                     for write in writes {
-                        parts.spawn(Arc::clone(&self).persist(batch, write, in_doubt));
+                        partitions.spawn(Arc::clone(&self).write_part(batch, write, in_doubt));
                     }
-                    while parts.join_next().await.is_some() {}
+                    while partitions.join_next().await.is_some() {}
                     return;
                 }
             }
         }
     }
 
-    /// Writes one part until that is done.
+    /// Writes the rows of one partition, with retries until they are durable.
     ///
-    /// After a write without answer the fence is rewritten with the next try. If the lost
-    /// one were carried out seconds later it would put old progress over new; the fence's
-    /// new version keeps it from that.
-    async fn persist(self: Arc<Self>, batch: u64, write: PartWrite, mut in_doubt: bool) {
+    /// After a write without a response, the next attempt also rewrites the fence. The lost
+    /// write could otherwise be carried out seconds later and overwrite newer progress; the
+    /// fence's new version makes its condition fail.
+    async fn write_part(self: Arc<Self>, batch: u64, write: PartWrite, mut in_doubt: bool) {
         let part = write.part;
         let mut writes = vec![write];
         let mut refusals = 0;
-        let mut doubts = u32::from(in_doubt);
+        let mut unanswered = u32::from(in_doubt);
         loop {
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
             match self.try_write(&mut writes, in_doubt).await {
-                Tried::Done => return self.committed(batch, part),
-                Tried::Again => {}
-                Tried::Deposed => return self.deposed(),
-                Tried::InDoubt => {
+                WriteOutcome::Done => return self.notify_committed(batch, part),
+                WriteOutcome::Retry => {}
+                WriteOutcome::Deposed => return self.notify_deposed(),
+                WriteOutcome::InDoubt => {
                     in_doubt = true;
-                    doubts += 1;
-                    if doubts == DOUBTS_MAX {
-                        self.tell_doubtful(&writes);
+                    unanswered += 1;
+                    if unanswered == UNANSWERED_MAX {
+                        self.notify_in_doubt(&writes);
                     }
                 }
-                Tried::Refused => {
+                WriteOutcome::Refused => {
                     refusals += 1;
                     if refusals >= REFUSALS_MAX && !in_doubt {
                         self.reject_all(&mut writes);
@@ -117,54 +117,58 @@
         }
     }
 
-    async fn try_write(&self, writes: &mut [PartWrite], rewrites: bool) -> Tried {
-        let transaction = self.transaction(writes, rewrites);
-        let sent = Instant::now();
-        let answered = async {
+    async fn try_write(&self, writes: &mut [PartWrite], rewrite_fences: bool) -> WriteOutcome {
+        let transaction = self.transaction(writes, rewrite_fences);
+        let sent_at = Instant::now();
+        let write = async {
             let limit = self.health.write_timeout();
-            let answered = timeout(limit, self.outside.transact(&transaction)).await;
-            answered.unwrap_or(Err(StoreError::NoAnswer))
+            let result = timeout(limit, self.outside.transact(&transaction)).await;
+            result.unwrap_or(Err(StoreError::NoAnswer))
         };
-        match self.health.write(answered).await {
+        match self.health.write(write).await {
             Ok(version) => {
-                let took = sent.elapsed();
-                metrics::histogram!("stoatwell_commit_ms").record(took.as_millis() as f64);
-                if took > SLOW {
-                    let (took_ms, rows) = (took.as_millis() as u64, transaction.put.len());
+                let elapsed = sent_at.elapsed();
+                metrics::histogram!("stoatwell_commit_ms").record(elapsed.as_millis() as f64);
+                if elapsed > SLOW_WRITE {
+                    let (took_ms, rows) = (elapsed.as_millis() as u64, transaction.put.len());
                     tracing::info!(took_ms, rows, parts = writes.len(), "slow write of the leader");
                 }
-                if rewrites {
-                    self.note_fences(writes, version);
+                if rewrite_fences {
+                    self.record_fence_versions(writes, version);
                 }
-                Tried::Done
+                WriteOutcome::Done
             }
             Err(StoreError::Conflict(rows)) => self.resolve(writes, &rows),
             Err(error) => {
                 let part = writes.first().map(|write| write.part);
-                tracing::warn!(%error, part, parts = writes.len(), "the leader's write has to be tried again");
-                if error == StoreError::NoAnswer { Tried::InDoubt } else { Tried::Refused }
+                tracing::warn!(%error, part, parts = writes.len(), "the leader's write failed; retrying");
+                if error == StoreError::NoAnswer {
+                    WriteOutcome::InDoubt
+                } else {
+                    WriteOutcome::Refused
+                }
             }
         }
     }
 
-    /// Deals with rows that were not as expected: fences that this leader rewrote itself
-    /// with a write whose answer was lost, and jobs that are there already.
-    fn resolve(&self, writes: &mut [PartWrite], rows: &[(Table, Row)]) -> Tried {
+    /// Resolves a conflict with rows of other versions than expected: fences that this leader
+    /// rewrote itself by a write whose response was lost, and jobs that exist already.
+    fn resolve(&self, writes: &mut [PartWrite], rows: &[(Table, Row)]) -> WriteOutcome {
         for (table, row) in rows {
             if *table == Table::Fences {
-                let Some((fence, version)) = read_fence(row) else { return Tried::Deposed };
-                if !fence.is_of(&self.fence) {
+                let Some((fence, version)) = read_fence(row) else { return WriteOutcome::Deposed };
+                if !fence.is_same_leader(&self.fence) {
                     tracing::warn!(
                         part = row.key,
                         holder = fence.holder,
                         epoch = fence.epoch,
-                        "another daemon leads now"
+                        "cannot write a batch: another daemon leads now"
                     );
-                    return Tried::Deposed;
+                    return WriteOutcome::Deposed;
                 }
-                let Ok(part) = row.key.parse::<usize>() else { return Tried::Deposed };
-                if let Some(known) = self.versions().get_mut(part) {
-                    *known = version;
+                let Ok(part) = row.key.parse::<usize>() else { return WriteOutcome::Deposed };
+                if let Some(known_version) = self.fence_versions().get_mut(part) {
+                    *known_version = version;
                 }
             }
         }
@@ -172,10 +176,10 @@
             write.puts.retain_mut(|put| {
                 let Some(spec) = &put.submission else { return true };
                 let key = put.job.to_string();
-                let there = rows.iter().find(|(table, row)| {
+                let existing_row = rows.iter().find(|(table, row)| {
                     *table == Table::Jobs && row.key == key && row.version > 0
                 });
-                if there.is_none() {
+                if existing_row.is_none() {
                     return true;
                 }
                 let accepted = joined(put.job, &encode(spec.as_ref()), rows);
@@ -186,18 +190,18 @@
                 accepted == Accepted::Yes
             });
         }
-        Tried::Again
+        WriteOutcome::Retry
     }
 
-    /// Lets callers know that nobody can tell yet, while they have time to ask again.
-    fn tell_doubtful(&self, writes: &[PartWrite]) {
+    /// Tells callers that the outcome is not known yet, while they have time to ask again.
+    fn notify_in_doubt(&self, writes: &[PartWrite]) {
         let puts = writes.iter().flat_map(|write| &write.puts);
         for put in puts.filter(|put| put.submission.is_some()) {
             self.messages.notify(Event::InDoubt { job: put.job });
         }
     }
 
-    /// Gives up submissions; nothing of them is or will be in the store.
+    /// Rejects submissions; nothing of them is in the store or ever will be.
     fn reject_all(&self, writes: &mut [PartWrite]) {
         for write in writes {
             write.puts.retain(|put| {
@@ -210,15 +214,16 @@
         }
     }
 
-    fn transaction(&self, writes: &[PartWrite], rewrites: bool) -> Transaction {
+    fn transaction(&self, writes: &[PartWrite], rewrite_fences: bool) -> Transaction {
         let mut transaction = Transaction::default();
-        let versions = self.versions();
+        let fence_versions = self.fence_versions();
         for write in writes {
             let fence_key = write.part.to_string();
-            let version = versions.get(write.part).copied().unwrap_or(0);
+            let version = fence_versions.get(write.part).copied().unwrap_or(0);
             transaction.expect.push((Table::Fences, fence_key.clone(), version));
-            if rewrites {
-                // A version of its own, so that it differs from what a lost write left.
+            if rewrite_fences {
+                // With the expected version as its `beat`, the fence differs from the one that
+                // a lost write may have left.
                 let fence = Fence { beat: version, ..self.fence.clone() };
                 transaction.put.push((Table::Fences, fence_key, encode(&fence)));
             }
@@ -241,24 +246,24 @@
         transaction
     }
 
-    fn note_fences(&self, writes: &[PartWrite], version: u64) {
-        let mut versions = self.versions();
+    fn record_fence_versions(&self, writes: &[PartWrite], version: u64) {
+        let mut fence_versions = self.fence_versions();
         for write in writes {
-            if let Some(known) = versions.get_mut(write.part) {
-                *known = version;
+            if let Some(known_version) = fence_versions.get_mut(write.part) {
+                *known_version = version;
             }
         }
     }
 
-    fn versions(&self) -> std::sync::MutexGuard<'_, Vec<u64>> {
-        self.versions.lock().unwrap_or_else(PoisonError::into_inner)
+    fn fence_versions(&self) -> std::sync::MutexGuard<'_, Vec<u64>> {
+        self.fence_versions.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn committed(&self, batch: u64, part: usize) {
+    fn notify_committed(&self, batch: u64, part: usize) {
         self.messages.notify(Event::Committed { batch, part });
     }
 
-    fn deposed(&self) {
+    fn notify_deposed(&self) {
         self.messages.depose();
     }
 }
--- a/crates/node/src/leader.rs
+++ b/crates/node/src/leader.rs
@@ -202,7 +202,7 @@
             outside: Arc::clone(&self.outside),
             health: Arc::clone(&self.health),
             fence,
-            versions: Mutex::new(versions),
+            fence_versions: Mutex::new(versions),
             messages: messages.clone(),
         });
         let follower = Arc::new(Follower {
--- a/crates/node/tests/duty.rs
+++ b/crates/node/tests/duty.rs
@@ -57,10 +57,10 @@
 /// its processor.
 #[test]
 fn the_fittest_daemon_goes_first() {
-    let near = fit("a", 8).delay_ms();
-    let far = fit("a", 32).delay_ms();
-    let weak = Candidate { cores: 0.12, ..fit("a", 8) }.delay_ms();
-    let narrow = Candidate { link_mbps: 10.0, ..fit("a", 8) }.delay_ms();
+    let near = fit("a", 8).claim_delay_ms();
+    let far = fit("a", 32).claim_delay_ms();
+    let weak = Candidate { cores: 0.12, ..fit("a", 8) }.claim_delay_ms();
+    let narrow = Candidate { link_mbps: 10.0, ..fit("a", 8) }.claim_delay_ms();
     assert!(near + 100 < far && near + 100 < weak && near + 100 < narrow);
 }
 
