--- a/crates/node/src/advisor_dispatcher.rs
+++ b/crates/node/src/advisor_dispatcher.rs
@@ -1,8 +1,9 @@
-//! Asks the advisor through many daemons.
+//! Distributes queries to the advisor over many daemons.
 //!
-//! The advisor serves one question at a time for each daemon that asks, and
-//! one can take most of a second. Asked by the scheduler alone, it would be
-//! its bottleneck; so questions go through all daemons, the most urgent first.
+//! The advisor serves one query at a time for each daemon, and a query can take
+//! most of a second. If the leader sent them all, the advisor would be its
+//! bottleneck. So all daemons act as proxies, and queries are sent through them
+//! in order of priority.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,142 +27,144 @@
 use crate::peers::NodeCall;
 use crate::peers::NodeReply;
 
-/// How much longer than the advisor's own time an answer may take: calls that
-/// wait before it, and some round trips between regions.
-const MARGIN_MS: u64 = 600;
-/// A daemon that brought no answer is not asked again for this long at first;
-/// doubled with each further one. A scheduler that is cut off from many daemons
-/// would otherwise lose every call through them again and again.
-const PAUSE_MS: u64 = 2_000;
-/// ... this many times at most, which is half a minute.
-const PAUSE_DOUBLINGS: u32 = 4;
+/// How much longer a response may take than the advisor's own time for the query: queries
+/// that are ahead of it, and some round trips between regions.
+const TIMEOUT_MARGIN_MS: u64 = 600;
+/// Initial backoff of a proxy through which a query failed; doubled with each further
+/// failure. Otherwise a leader that is cut off from many daemons would lose queries
+/// through them again and again.
+const BACKOFF_MS: u64 = 2_000;
+/// Number of doublings at most, which makes half a minute.
+const BACKOFF_DOUBLINGS_MAX: u32 = 4;
 
-/// A call that failed is tried through another daemon at once if no more than
-/// this was lost with it: a daemon that is gone, or cut off, and a short call.
-const QUICK_MS: u64 = 1_000;
-/// ... this many times in all; more than a few daemons rarely stop together.
-const TRIES_MAX: u32 = 4;
-/// A daemon is given further calls while the advisor has less than this to do
-/// for it: the way there and back between regions, which would be idle time.
-const AHEAD_MS: u64 = 30;
-/// How long a daemon that is told something may take.
+/// A failed query is retried through another proxy at once if it took no longer than this,
+/// as with a proxy that is down or unreachable, or a short query.
+const RETRY_ELAPSED_MAX_MS: u64 = 1_000;
+/// Attempts for one query in all; more than a few daemons rarely stop together.
+const ATTEMPTS_MAX: u32 = 4;
+/// A proxy is given further queries while the advisor has less work than this left for it.
+/// This covers the round trip between regions, during which the advisor would be idle.
+const PIPELINE_MS: u64 = 30;
+/// Time limit for the notification of another daemon.
 const NOTIFY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Daemons that ask the advisor.
+/// Sends queries to the advisor through this daemon and others.
 #[derive(Debug)]
 pub struct AdvisorDispatcher<O> {
     outside: Arc<O>,
     peers: Peers,
-    me: String,
+    own_address: String,
     state: Arc<Mutex<State>>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    asking: BTreeMap<String, Asking>,
-    /// Calls that wait for a daemon, by priority and arrival.
-    waiting: BTreeMap<(u32, u64), Waiting>,
+    proxies: BTreeMap<String, Proxy>,
+    /// Queries that wait for a proxy, by priority and arrival.
+    queue: BTreeMap<(u32, u64), QueuedQuery>,
     arrivals: u64,
 }
 
 #[derive(Debug, Default)]
-struct Asking {
-    /// Time of the advisor that is asked for through it and not answered yet.
-    busy_ms: u64,
-    long_calls: usize,
-    pause_until_ms: u64,
-    /// Calls without answer in a row.
+struct Proxy {
+    /// The advisor's expected time for all unanswered queries through this proxy.
+    pending_ms: u64,
+    long_queries: usize,
+    backoff_until_ms: u64,
+    /// Consecutive queries without an answer.
     failures: u32,
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct QueuedQuery {
     cost_ms: u64,
-    turn: oneshot::Sender<Permit>,
+    permit: oneshot::Sender<Permit>,
 }
 
 impl<O: Outside> AdvisorDispatcher<O> {
-    /// Only this daemon asks, until others are known.
-    pub fn new(outside: Arc<O>, peers: Peers, me: String) -> Self {
-        let asking = BTreeMap::from([(me.clone(), Asking::default())]);
-        let state = State { asking, ..State::default() };
-        Self { outside, peers, me, state: Arc::new(Mutex::new(state)) }
+    /// A dispatcher that uses only this daemon, until others are known.
+    pub fn new(outside: Arc<O>, peers: Peers, own_address: String) -> Self {
+        let proxies = BTreeMap::from([(own_address.clone(), Proxy::default())]);
+        let state = State { proxies, ..State::default() };
+        Self { outside, peers, own_address, state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Updates which daemons there are; gives their addresses.
+    /// Updates the list of daemons. Returns the addresses of all proxies, including daemons
+    /// that have left but still have queries pending.
     pub fn update_members(&self, members: &[Member]) -> Vec<String> {
-        let mut known = BTreeSet::from([self.me.clone()]);
-        known.extend(members.iter().map(|member| member.address.clone()));
+        let mut addresses = BTreeSet::from([self.own_address.clone()]);
+        addresses.extend(members.iter().map(|member| member.address.clone()));
         let mut state = self.lock();
-        state.asking.retain(|address, one| known.contains(address) || one.busy_ms > 0);
-        for address in known {
-            state.asking.entry(address).or_default();
+        state.proxies.retain(|address, proxy| addresses.contains(address) || proxy.pending_ms > 0);
+        for address in addresses {
+            state.proxies.entry(address).or_default();
         }
-        // Calls that wait may find a daemon now.
+        // Queued queries may find a proxy now.
         state.assign(&self.state);
-        state.asking.keys().cloned().collect()
+        state.proxies.keys().cloned().collect()
     }
 
-    /// Tells another daemon something, without waiting for it.
+    /// Sends a call to another daemon without waiting for the reply; does nothing for this one.
     pub fn notify(&self, address: String, call: NodeCall) {
-        if address == self.me {
+        if address == self.own_address {
             return;
         }
         let peers = self.peers.clone();
         tokio::spawn(async move {
             if let Err(error) = peers.call::<NodeReply>(&address, &call, NOTIFY_TIMEOUT).await {
-                tracing::debug!(address, %error, "a daemon could not be told");
+                tracing::debug!(address, %error, "cannot notify a daemon");
             }
         });
     }
 
-    /// Asks when it is this call's turn; `None` is no answer.
-    pub async fn ask(
+    /// Queries the advisor, once a proxy is free for it. `None` if no answer came.
+    pub async fn query(
         &self,
         step: StepId,
         workers: &[WorkerId],
         priority: u32,
         cost_ms: u64,
     ) -> Option<Vec<Grant>> {
-        let asked_ms = steady_ms();
-        for _ in 0..TRIES_MAX {
-            let mut turn = self.turn(priority, cost_ms).await?;
-            let address = turn.address.clone();
+        let enqueued_ms = steady_ms();
+        for _ in 0..ATTEMPTS_MAX {
+            let mut permit = self.acquire_permit(priority, cost_ms).await?;
+            let address = permit.address.clone();
             let sent_ms = steady_ms();
-            let limit_ms = cost_ms + MARGIN_MS;
-            let granted = if address == self.me {
+            let limit_ms = cost_ms + TIMEOUT_MARGIN_MS;
+            let granted = if address == self.own_address {
                 self.outside.advise(step, workers, limit_ms).await
             } else {
-                self.ask_peer(&address, step, workers, limit_ms).await
+                self.query_peer(&address, step, workers, limit_ms).await
             };
-            turn.came_to = if granted.is_some() { CameTo::Answered } else { CameTo::Nothing };
-            drop(turn);
+            permit.outcome =
+                if granted.is_some() { QueryOutcome::Answered } else { QueryOutcome::NoAnswer };
+            drop(permit);
             let asked = workers.len();
             let took_ms = steady_ms() - sent_ms;
             let Some(granted) = granted else {
-                tracing::warn!(%step, through = address, asked, took_ms, "advisor brought no answer");
-                if took_ms > QUICK_MS {
+                tracing::warn!(%step, through = address, asked, took_ms, "no answer from the advisor");
+                if took_ms > RETRY_ELAPSED_MAX_MS {
                     return None;
                 }
                 continue;
             };
-            let waited_ms = sent_ms - asked_ms;
+            let waited_ms = sent_ms - enqueued_ms;
             tracing::info!(
                 %step, through = address, asked, granted = granted.len(), cost_ms, waited_ms, took_ms,
-                "advice came"
+                "advisor answered"
             );
             return Some(granted);
         }
         None
     }
 
-    async fn turn(&self, priority: u32, cost_ms: u64) -> Option<Permit> {
-        let (turn, my_turn) = oneshot::channel();
-        self.lock().enqueue(&self.state, priority, Waiting { cost_ms, turn });
-        my_turn.await.ok()
+    async fn acquire_permit(&self, priority: u32, cost_ms: u64) -> Option<Permit> {
+        let (permit, permit_receiver) = oneshot::channel();
+        self.lock().enqueue(&self.state, priority, QueuedQuery { cost_ms, permit });
+        permit_receiver.await.ok()
     }
 
-    async fn ask_peer(
+    async fn query_peer(
         &self,
         address: &str,
         step: StepId,
@@ -177,7 +180,7 @@
             }
             Ok(_) => None,
             Err(error) => {
-                tracing::debug!(address, %error, "a daemon did not ask the advisor");
+                tracing::debug!(address, %error, "cannot query the advisor through a daemon");
                 None
             }
         }
@@ -188,99 +191,109 @@
     }
 }
 
-/// What became of a question.
+/// The outcome of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CameTo {
+enum QueryOutcome {
     Answered,
-    /// No answer came through the daemon.
-    Nothing,
-    /// It is no longer wanted; says nothing of the daemon.
-    GivenUp,
+    /// No answer came through the proxy.
+    NoAnswer,
+    /// The query was dropped, which says nothing about the proxy.
+    Abandoned,
 }
 
-/// A question's turn to go through a daemon.
+/// Permission to send one query through a proxy.
 ///
-/// It ends however the question does, also when a scheduler that lost its duty
-/// drops it half-way: a turn that stayed taken would count against the daemon for
-/// good, and after some of them no long question, and so no gang, would ever go.
+/// It is released on drop, so also when a leader that lost its lease cancels the query. A
+/// permit that was never released would count against the proxy for good, and after some of
+/// them no long query, and so no gang, could ever be started.
 #[derive(Debug)]
 struct Permit {
     state: Arc<Mutex<State>>,
     address: String,
     cost_ms: u64,
-    came_to: CameTo,
-    /// Whether it counts against the daemon.
-    taken: bool,
+    outcome: QueryOutcome,
+    /// Whether the query is included in the proxy's counts.
+    is_counted: bool,
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        if !self.taken {
+        if !self.is_counted {
             return;
         }
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.release(&self.state, &self.address, self.cost_ms, self.came_to);
+        state.release(&self.state, &self.address, self.cost_ms, self.outcome);
     }
 }
 
 impl State {
-    fn enqueue(&mut self, shared: &Arc<Mutex<Self>>, priority: u32, call: Waiting) {
-        self.waiting.insert((priority, self.arrivals), call);
+    fn enqueue(&mut self, shared: &Arc<Mutex<Self>>, priority: u32, queued: QueuedQuery) {
+        self.queue.insert((priority, self.arrivals), queued);
         self.arrivals += 1;
         self.assign(shared);
     }
 
-    /// Gives waiting calls to daemons that are free for them.
+    /// Assigns queued queries to proxies that have capacity for them.
     fn assign(&mut self, shared: &Arc<Mutex<Self>>) {
         let now_ms = steady_ms();
-        let long_max = long_questions_max(self.asking.len());
-        let mut long_calls: usize = self.asking.values().map(|one| one.long_calls).sum();
-        let mut later = BTreeMap::new();
-        while let Some((key, call)) = self.waiting.pop_first() {
-            let long = call.cost_ms >= LONG_ASK_MS;
-            let all_pause = self.asking.values().all(|one| one.pause_until_ms > now_ms);
-            let free = self.asking.iter_mut().filter(|(_, one)| {
-                one.busy_ms < AHEAD_MS && (all_pause || one.pause_until_ms <= now_ms)
+        let long_queries_max = long_questions_max(self.proxies.len());
+        let mut long_queries: usize = self.proxies.values().map(|proxy| proxy.long_queries).sum();
+        let mut still_queued = BTreeMap::new();
+        while let Some((key, queued)) = self.queue.pop_first() {
+            let is_long = queued.cost_ms >= LONG_ASK_MS;
+            let all_in_backoff = self.proxies.values().all(|proxy| proxy.backoff_until_ms > now_ms);
+            let available = self.proxies.iter_mut().filter(|(_, proxy)| {
+                proxy.pending_ms < PIPELINE_MS
+                    && (all_in_backoff || proxy.backoff_until_ms <= now_ms)
             });
-            let best = free.min_by_key(|(_, one)| one.busy_ms);
-            let Some((address, one)) = best.filter(|_| !long || long_calls < long_max) else {
-                later.insert(key, call);
-                if long {
+            let best = available.min_by_key(|(_, proxy)| proxy.pending_ms);
+            let Some((address, proxy)) =
+                best.filter(|_| !is_long || long_queries < long_queries_max)
+            else {
+                still_queued.insert(key, queued);
+                if is_long {
                     continue;
                 }
                 break;
             };
-            let turn = Permit {
+            let permit = Permit {
                 state: Arc::clone(shared),
                 address: address.clone(),
-                cost_ms: call.cost_ms,
-                came_to: CameTo::GivenUp,
-                taken: true,
+                cost_ms: queued.cost_ms,
+                outcome: QueryOutcome::Abandoned,
+                is_counted: true,
             };
-            if let Err(mut turn) = call.turn.send(turn) {
-                // Nobody waits for it any more.
-                turn.taken = false;
+            if let Err(mut permit) = queued.permit.send(permit) {
+                // The query was dropped while it was queued.
+                permit.is_counted = false;
                 continue;
             }
-            one.busy_ms += call.cost_ms;
-            one.long_calls += usize::from(long);
-            long_calls += usize::from(long);
+            proxy.pending_ms += queued.cost_ms;
+            proxy.long_queries += usize::from(is_long);
+            long_queries += usize::from(is_long);
         }
-        self.waiting.append(&mut later);
+        self.queue.append(&mut still_queued);
     }
 
-    fn release(&mut self, shared: &Arc<Mutex<Self>>, address: &str, cost_ms: u64, came_to: CameTo) {
-        if let Some(one) = self.asking.get_mut(address) {
-            one.busy_ms = one.busy_ms.saturating_sub(cost_ms);
-            one.long_calls = one.long_calls.saturating_sub(usize::from(cost_ms >= LONG_ASK_MS));
-            match came_to {
-                CameTo::Answered => one.failures = 0,
-                CameTo::Nothing => {
-                    let pause_ms = PAUSE_MS << one.failures.min(PAUSE_DOUBLINGS);
-                    one.pause_until_ms = steady_ms() + pause_ms;
-                    one.failures += 1;
+    fn release(
+        &mut self,
+        shared: &Arc<Mutex<Self>>,
+        address: &str,
+        cost_ms: u64,
+        outcome: QueryOutcome,
+    ) {
+        if let Some(proxy) = self.proxies.get_mut(address) {
+            proxy.pending_ms = proxy.pending_ms.saturating_sub(cost_ms);
+            proxy.long_queries =
+                proxy.long_queries.saturating_sub(usize::from(cost_ms >= LONG_ASK_MS));
+            match outcome {
+                QueryOutcome::Answered => proxy.failures = 0,
+                QueryOutcome::NoAnswer => {
+                    let backoff_ms = BACKOFF_MS << proxy.failures.min(BACKOFF_DOUBLINGS_MAX);
+                    proxy.backoff_until_ms = steady_ms() + backoff_ms;
+                    proxy.failures += 1;
                 }
-                CameTo::GivenUp => {}
+                QueryOutcome::Abandoned => {}
             }
         }
         self.assign(shared);
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -1,8 +1,8 @@
-//! What waits for the scheduler to hear it.
+//! The scheduler's message queue.
 //!
-//! A leader with more to do than its processor carries falls behind with the answers of
-//! workers and the advisor. What changes what it may do at all does not wait behind them:
-//! workers that leave, cancellations, customers' limits, another leader.
+//! An overloaded leader falls behind with the replies of workers and the advisor. Control
+//! messages, which change what it may do at all, are not queued behind them: workers that
+//! leave, cancellations, customers' limits, a new leader.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,44 +12,44 @@
 
 use crate::message::Message;
 
-/// Messages handled at a stretch. Other daemons ask meanwhile whether the leader lives, and
-/// replace one that keeps them waiting.
-const MESSAGES_MAX: usize = 256;
+/// Ordinary messages handled in one burst, without yielding to other tasks. Other daemons
+/// probe the leader meanwhile, and replace one that keeps them waiting.
+const BURST_MESSAGES_MAX: usize = 256;
 
-/// The receiving ends.
+/// The receiving half of the message queue.
 #[derive(Debug)]
 pub struct Inbox {
     control: mpsc::UnboundedReceiver<Message>,
     ordinary: mpsc::UnboundedReceiver<Message>,
 }
 
-/// The sending ends.
+/// The sending half of the message queue.
 #[derive(Clone, Debug)]
 pub struct InboxSender {
     control: mpsc::UnboundedSender<Message>,
     ordinary: mpsc::UnboundedSender<Message>,
 }
 
-/// What one turn of the leader handles, in stretches.
+/// Limits how many messages the leader handles in one cycle, in bursts.
 #[derive(Debug)]
 pub struct MessageBudget {
-    began: Instant,
-    /// Messages of the present stretch.
-    handled: usize,
-    /// How long the last decision took: handling gets as much, so that neither starves.
-    at_least: Duration,
+    started: Instant,
+    /// Ordinary messages handled in the current burst.
+    handled_in_burst: usize,
+    /// How long the last decision took. Handling gets as much time, so that neither starves.
+    min_duration: Duration,
 }
 
-/// A new inbox and the way to it.
+/// Creates a message queue.
 pub fn inbox() -> (InboxSender, Inbox) {
-    let (control, control_received) = mpsc::unbounded_channel();
-    let (ordinary, ordinary_received) = mpsc::unbounded_channel();
-    let inbox = Inbox { control: control_received, ordinary: ordinary_received };
+    let (control, control_receiver) = mpsc::unbounded_channel();
+    let (ordinary, ordinary_receiver) = mpsc::unbounded_channel();
+    let inbox = Inbox { control: control_receiver, ordinary: ordinary_receiver };
     (InboxSender { control, ordinary }, inbox)
 }
 
 impl Inbox {
-    /// Waits for a message.
+    /// Waits for the next message, control messages first.
     pub async fn recv(&mut self) -> Option<Message> {
         tokio::select! {
             biased;
@@ -58,26 +58,27 @@
         }
     }
 
-    /// Waits for a message that does not wait behind others.
+    /// Waits for the next control message.
     pub async fn recv_control(&mut self) -> Option<Message> {
         self.control.recv().await
     }
 
-    /// A message that waits, if the stretch may have one more.
-    pub fn try_recv(&mut self, turn: &mut MessageBudget) -> Option<Message> {
+    /// Takes the next queued message, control messages first. `None` if there is none, or
+    /// only ordinary ones while the current burst is used up.
+    pub fn try_recv(&mut self, budget: &mut MessageBudget) -> Option<Message> {
         if let Ok(message) = self.control.try_recv() {
             return Some(message);
         }
-        if turn.handled >= MESSAGES_MAX {
+        if budget.handled_in_burst >= BURST_MESSAGES_MAX {
             return None;
         }
-        turn.handled += 1;
+        budget.handled_in_burst += 1;
         self.ordinary.try_recv().ok()
     }
 }
 
 impl InboxSender {
-    /// Tells the scheduler of an event.
+    /// Sends an event to the scheduler.
     pub fn notify(&self, event: Event) {
         let sender = match event {
             Event::Listed(_)
@@ -87,28 +88,28 @@
             _ => &self.ordinary,
         };
         if sender.send(Message::Event(event)).is_err() {
-            tracing::debug!("the scheduler ended before it was notified");
+            tracing::debug!("cannot send an event: the scheduler has ended");
         }
     }
 
-    /// Tells the scheduler that another one leads.
+    /// Tells the scheduler that another daemon leads now.
     pub fn depose(&self) {
         if self.control.send(Message::Deposed).is_err() {
-            tracing::debug!("the scheduler had ended before");
+            tracing::debug!("cannot depose the scheduler: it has ended");
         }
     }
 }
 
 impl MessageBudget {
-    /// A turn after a decision that took this long.
-    pub fn after_decision(decided: Duration) -> Self {
-        Self { began: Instant::now(), handled: 0, at_least: decided }
+    /// The budget for a cycle, given how long the decision of the previous one took.
+    pub fn after_decision(decision_time: Duration) -> Self {
+        Self { started: Instant::now(), handled_in_burst: 0, min_duration: decision_time }
     }
 
-    /// Begins another stretch, if there is more to handle and time for it.
+    /// Begins another burst; returns `false` if the last one was not full or the time is up.
     pub fn next_burst(&mut self) -> bool {
-        let is_full = self.handled >= MESSAGES_MAX;
-        self.handled = 0;
-        is_full && self.began.elapsed() < self.at_least
+        let is_exhausted = self.handled_in_burst >= BURST_MESSAGES_MAX;
+        self.handled_in_burst = 0;
+        is_exhausted && self.started.elapsed() < self.min_duration
     }
 }
--- a/crates/node/src/leader.rs
+++ b/crates/node/src/leader.rs
@@ -134,13 +134,13 @@
             };
             let began = Instant::now();
             let fresh = is_fresh(&renewed_ms);
-            let mut turn = MessageBudget::after_decision(decided);
-            if !handle_all(&mut pool, &mut submissions, first, &mut inbox, &mut turn, fresh) {
+            let mut budget = MessageBudget::after_decision(decided);
+            if !handle_all(&mut pool, &mut submissions, first, &mut inbox, &mut budget, fresh) {
                 return;
             }
-            while turn.next_burst() {
+            while budget.next_burst() {
                 tokio::task::yield_now().await;
-                if !handle_all(&mut pool, &mut submissions, None, &mut inbox, &mut turn, fresh) {
+                if !handle_all(&mut pool, &mut submissions, None, &mut inbox, &mut budget, fresh) {
                     return;
                 }
             }
@@ -294,7 +294,7 @@
                 let advisors = Arc::clone(&self.advisors);
                 let messages = messages.clone();
                 tasks.spawn(async move {
-                    let granted = advisors.ask(step, &workers, priority, cost_ms).await;
+                    let granted = advisors.query(step, &workers, priority, cost_ms).await;
                     let came_ms = steady_ms();
                     let event = Event::Advised { step, asked: workers, cost_ms, granted, came_ms };
                     messages.notify(event);
@@ -352,10 +352,10 @@
     submissions: &mut Submissions,
     first: Option<Message>,
     inbox: &mut Inbox,
-    turn: &mut MessageBudget,
+    budget: &mut MessageBudget,
     fresh: bool,
 ) -> bool {
-    let more = std::iter::from_fn(|| inbox.try_recv(turn));
+    let more = std::iter::from_fn(|| inbox.try_recv(budget));
     for message in first.into_iter().chain(more) {
         match message {
             Message::Deposed => return false,
--- a/crates/node/src/leader_view.rs
+++ b/crates/node/src/leader_view.rs
@@ -1,9 +1,9 @@
-//! Who schedules, as far as one daemon knows, and whether it lives.
+//! What a daemon knows about the current leader, and the probe of its liveness.
 //!
-//! The duty's row tells who. It changes only as often as it is renewed, and says
-//! nothing while the store is away. So the scheduler is also asked directly, several
-//! times a second: a daemon that was killed is missed within a few hundred
-//! milliseconds, and one that lives is not replaced because the store was away.
+//! The row of the leader lease names the leader. It changes only as often as it is
+//! renewed, and says nothing while the store is unavailable. So the leader is also probed
+//! directly, several times a second: the loss of a killed leader is noticed within a few
+//! hundred milliseconds, and a live one is not replaced because the store was unavailable.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,33 +20,34 @@
 use crate::peers::NodeCall;
 use crate::peers::NodeReply;
 
-/// How long the scheduler may take to say that it lives: some round trips between
-/// regions, and a cycle over a long queue.
+/// Time limit for the response to a probe: some round trips between regions, and a
+/// scheduling cycle over a long queue.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Questions without answer in a row after which it counts as gone. The first one may
-/// have gone into a connection that is dead while the daemon lives.
+/// Consecutive probes without a response after which the leader counts as gone. The first
+/// one may have been sent over a dead connection to a live daemon.
 const MISSES_MAX: u32 = 2;
-/// How often a daemon that could lead asks whether the scheduler lives.
+/// Probe interval of a daemon that could lead itself.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
-/// Of the other daemons, one asks in this time ...
-const PROBE_INTERVAL_EACH: Duration = Duration::from_millis(10);
-/// ... and each of them at least once in this.
+/// Probe interval of the other daemons, for each daemon of the pool: this is the mean time
+/// between probes that the leader gets from them ...
+const PROBE_INTERVAL_PER_DAEMON: Duration = Duration::from_millis(10);
+/// ... and this is the longest interval of any of them.
 const PROBE_INTERVAL_MAX: Duration = Duration::from_secs(2);
-/// After the first question without answer.
-const MISSED_PAUSE: Duration = Duration::from_millis(30);
+/// Delay before the second probe, after the first one without a response.
+const REPROBE_DELAY: Duration = Duration::from_millis(30);
 
-/// The way to the scheduler.
+/// How to reach the leader.
 #[derive(Clone, Debug)]
 pub(crate) enum Route {
-    /// None is known, or it is gone.
+    /// No leader is known, or it is gone.
     None,
-    /// This daemon.
+    /// This daemon is the leader.
     Local(mpsc::Sender<Query>),
-    /// The daemon at this address.
+    /// The leader is the daemon at this address.
     Remote(String),
 }
 
-/// Whether a scheduler lives.
+/// The liveness of a leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, displaydoc::Display)]
 pub enum Liveness {
     /// not known
@@ -60,21 +61,21 @@
     Gone,
 }
 
-/// What a daemon knows of who schedules.
+/// What a daemon knows about the current leader.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeaderView {
-    /// The way to it, while it is this daemon.
-    here: Option<mpsc::Sender<Query>>,
-    /// The newest holder of the duty that was heard of.
+    /// The scheduler's query channel, while this daemon leads.
+    queries: Option<mpsc::Sender<Query>>,
+    /// The highest epoch that was seen.
     epoch: u64,
-    /// Where it is; none if it gave the duty up.
+    /// Address of that epoch's leader; `None` if it released the lease.
     address: Option<String>,
-    /// Whether it lives.
+    /// Liveness of that epoch's leader.
     liveness: Liveness,
 }
 
 impl LeaderView {
-    /// Takes note of a holder of the duty; one that was replaced is left out.
+    /// Records the leader of an epoch; an epoch older than the newest one is ignored.
     pub fn observe(&mut self, epoch: u64, address: Option<String>) {
         if epoch < self.epoch {
             return;
@@ -86,15 +87,15 @@
         self.address = address;
     }
 
-    /// This daemon schedules now, or does no more.
-    pub fn set_local(&mut self, here: Option<mpsc::Sender<Query>>) {
-        self.here = here;
+    /// Sets the scheduler's query channel while this daemon leads, `None` afterwards.
+    pub fn set_local(&mut self, queries: Option<mpsc::Sender<Query>>) {
+        self.queries = queries;
     }
 
-    /// The way to the scheduler.
+    /// How to reach the leader.
     pub fn route(&self) -> Route {
-        if let Some(here) = &self.here {
-            return Route::Local(here.clone());
+        if let Some(queries) = &self.queries {
+            return Route::Local(queries.clone());
         }
         match &self.address {
             Some(address) if self.liveness != Liveness::Gone => Route::Remote(address.clone()),
@@ -102,54 +103,54 @@
         }
     }
 
-    /// Takes note of whether a holder of the duty lives; tells whether that is news.
+    /// Records the liveness of an epoch's leader; returns whether it changed.
     pub fn note_liveness(&mut self, epoch: u64, liveness: Liveness) -> bool {
         if epoch != self.epoch || liveness == self.liveness {
             return false;
         }
-        tracing::info!(epoch, address = self.address, before = %self.liveness, now = %liveness, "scheduler");
+        tracing::info!(epoch, address = self.address, before = %self.liveness, now = %liveness, "liveness of the leader changed");
         self.liveness = liveness;
         true
     }
 
-    /// Whether a holder of the duty lives.
+    /// The liveness of an epoch's leader; unknown for any but the newest epoch.
     pub fn liveness_of(&self, epoch: u64) -> Liveness {
         if epoch == self.epoch { self.liveness } else { Liveness::Unknown }
     }
 
-    /// Whether the store answers the scheduler.
+    /// Whether the leader is alive and reaches the store.
     pub fn is_healthy(&self) -> bool {
         self.liveness == Liveness::Healthy
     }
 
-    /// Whether there is no leader, or none that could make anything durable.
+    /// Whether there is no leader that could make anything durable.
     pub fn is_unavailable(&self) -> bool {
-        let known = self.here.is_some() || self.address.is_some();
-        !known || matches!(self.liveness, Liveness::Gone | Liveness::Isolated)
+        let has_leader = self.queries.is_some() || self.address.is_some();
+        !has_leader || matches!(self.liveness, Liveness::Gone | Liveness::Isolated)
     }
 
-    /// The daemon to be asked whether it lives.
-    fn remote(&self) -> Option<(u64, String)> {
-        let address = self.address.clone().filter(|_| self.here.is_none())?;
+    /// Epoch and address of the leader to probe; `None` if this daemon leads or none is known.
+    fn remote_leader(&self) -> Option<(u64, String)> {
+        let address = self.address.clone().filter(|_| self.queries.is_none())?;
         Some((self.epoch, address))
     }
 }
 
-/// Asks the scheduler again and again whether it lives, for the whole liveness of a daemon.
-pub(crate) async fn check_liveness<O: Outside>(
+/// Probes the leader's liveness for as long as this daemon runs.
+pub(crate) async fn probe_leader<O: Outside>(
     gateway: Arc<Gateway<O>>,
     peers: Peers,
     is_underprovisioned: bool,
 ) {
     let mut view = gateway.watch_scheduler();
-    let mut asked = None;
+    let mut probed = None;
     let mut misses = 0;
-    let mut every = PROBE_INTERVAL;
+    let mut interval = PROBE_INTERVAL;
     loop {
-        let target = view.borrow_and_update().remote();
-        if target != asked {
+        let target = view.borrow_and_update().remote_leader();
+        if target != probed {
             misses = 0;
-            asked.clone_from(&target);
+            probed.clone_from(&target);
         }
         let Some((epoch, address)) = target else {
             if view.changed().await.is_err() {
@@ -157,12 +158,12 @@
             }
             continue;
         };
-        let asked_ms = steady_ms();
+        let sent_ms = steady_ms();
         let reply = peers.call::<NodeReply>(&address, &NodeCall::Alive, PROBE_TIMEOUT).await;
         if let Ok(NodeReply::Alive { daemons, fit, manifest, .. }) = &reply {
-            every = probe_interval(is_underprovisioned, *daemons);
+            interval = probe_interval(is_underprovisioned, *daemons);
             gateway.set_daemons(*daemons, *fit);
-            gateway.note_proof(&address, *manifest, asked_ms).await;
+            gateway.note_proof(&address, *manifest, sent_ms).await;
         }
         let liveness = match reply {
             Ok(NodeReply::Alive { reaches_store: true, .. }) => Some(Liveness::Healthy),
@@ -174,30 +175,30 @@
         if let Some(liveness) = liveness {
             gateway.note_liveness(epoch, liveness);
         }
-        let pause = if misses == 1 { MISSED_PAUSE } else { every };
-        wait(&mut view, asked.as_ref(), pause).await;
+        let delay = if misses == 1 { REPROBE_DELAY } else { interval };
+        wait_for_next_probe(&mut view, probed.as_ref(), delay).await;
     }
 }
 
-/// How often a daemon asks. Those that could lead ask often; hundreds of others would keep
-/// the leader busy, and are told by the next one that it leads.
+/// The interval between probes of the leader. Daemons that could lead probe it often.
+/// Hundreds of others would keep the leader busy; the next leader notifies them that it leads.
 pub fn probe_interval(is_underprovisioned: bool, daemons: u32) -> Duration {
     if is_underprovisioned {
-        (PROBE_INTERVAL_EACH * daemons).clamp(PROBE_INTERVAL, PROBE_INTERVAL_MAX)
+        (PROBE_INTERVAL_PER_DAEMON * daemons).clamp(PROBE_INTERVAL, PROBE_INTERVAL_MAX)
     } else {
         PROBE_INTERVAL
     }
 }
 
-/// Waits for a time, or until another daemon schedules.
-async fn wait(
+/// Waits for a delay, or until the leader to probe changes.
+async fn wait_for_next_probe(
     view: &mut watch::Receiver<LeaderView>,
-    asked: Option<&(u64, String)>,
-    pause: Duration,
+    probed: Option<&(u64, String)>,
+    delay: Duration,
 ) {
-    let another = view.wait_for(|view| view.remote().as_ref() != asked);
+    let leader_changed = view.wait_for(|view| view.remote_leader().as_ref() != probed);
     tokio::select! {
-        _ = another => {}
-        () = sleep(pause) => {}
+        _ = leader_changed => {}
+        () = sleep(delay) => {}
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -143,7 +143,7 @@
         }));
         tokio::spawn(serve_peers(listener, settings.peer_key.clone(), Arc::clone(&gateway)));
         tokio::spawn(health::probe(Arc::clone(&outside), Arc::clone(&health)));
-        tokio::spawn(leader_view::check_liveness(
+        tokio::spawn(leader_view::probe_leader(
             Arc::clone(&gateway),
             peers.clone(),
             election::is_underprovisioned(settings.cores),
--- a/crates/node/tests/advisors.rs
+++ b/crates/node/tests/advisors.rs
@@ -28,12 +28,12 @@
     outside.hang_advice(true);
     for _ in 0..4 {
         let asking = Arc::clone(&advisors);
-        let asked = tokio::spawn(async move { asking.ask(STEP, &[], 1, LONG_MS).await });
+        let asked = tokio::spawn(async move { asking.query(STEP, &[], 1, LONG_MS).await });
         tokio::time::sleep(Duration::from_millis(20)).await;
         asked.abort();
     }
     outside.hang_advice(false);
-    let answer = advisors.ask(STEP, &[], 1, LONG_MS);
+    let answer = advisors.query(STEP, &[], 1, LONG_MS);
     let answer = tokio::time::timeout(Duration::from_millis(500), answer).await;
     assert_eq!(answer, Ok(Some(Vec::new())));
 }
