--- a/crates/node/src/executors/call.rs
+++ b/crates/node/src/executors/call.rs
@@ -1,4 +1,4 @@
-//! Calls to workers and their answers, as the leader and executors exchange them.
+//! Calls to workers and their replies, as exchanged between the leader and executors.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,61 +22,62 @@
 /// A call to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkerCall {
-    /// Renew the worker's lease and read its lists.
+    /// Extend the worker's lease and read its lists of runs.
     Hold(HoldCall),
     /// Start a run.
     Start(StartCall),
     /// Stop a run.
     Stop(StopCall),
-    /// Let a run work at a share of its speed.
+    /// Limit a run to a share of its full speed.
     Pace(PaceCall),
 }
 
-/// What came of a call.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkerReply {
-    /// Of a hold.
+    /// Outcome of a hold.
     Held(Result<HoldReply, CallError>),
-    /// Of a start.
+    /// Outcome of a start.
     Started(Result<StartReply, CallError>),
-    /// Of any other.
+    /// Outcome of any other call.
     Done(Result<(), CallError>),
-    /// Of any that was lost on the way to the worker or back.
+    /// A call of any kind that was lost between the leader and the executor, or that was
+    /// dropped because it was too old.
     Failed(CallError),
 }
 
-/// A call with the number under which its answer is given.
+/// A call with the number that identifies its reply.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NumberedCall {
-    /// Its number.
+    /// Number of the call, unique on its link.
     pub number: u64,
-    /// The call; that of a start comes without its payload.
+    /// The call; a start is encoded without its payload.
     pub call: WorkerCall,
-    /// The place of a start's payload in the batch.
+    /// Index of a start's payload in the batch.
     payload: u32,
 }
 
-/// Orders that travel together.
+/// Calls that are sent together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// After this moment of the executor's clock nothing is started any more.
+    /// Time after which starts are not made any more, by the executor's clock.
     pub expires_ms: u64,
     orders: Vec<NumberedCall>,
-    /// Payloads of jobs, once each.
+    /// Payloads of jobs; starts of the same job share one.
     payloads: Vec<Arc<str>>,
 }
 
-/// Answers by the numbers of their orders.
+/// Replies with the numbers of their calls.
 pub type Replies = Vec<(u64, WorkerReply)>;
 
-/// What the leader remembers of a call until its answer comes.
+/// What the leader keeps of a call until its reply arrives.
 #[derive(Clone, Debug)]
 pub enum PendingCall {
     /// A hold.
     Hold {
         /// The worker.
         worker: WorkerId,
-        /// The turn of the pool in which it was made.
+        /// The pool's scheduling cycle in which it was made.
         turn: u64,
     },
     /// A start.
@@ -109,7 +110,7 @@
 }
 
 impl WorkerCall {
-    /// What has to be remembered of it.
+    /// What the leader has to keep until the reply arrives.
     pub fn pending(&self) -> PendingCall {
         match self {
             Self::Hold(call) => {
@@ -149,7 +150,7 @@
 }
 
 impl WorkerReply {
-    /// Whether the call was made and the worker gave no answer of use.
+    /// Whether the call was made and got no usable reply from the worker.
     pub fn is_unanswered(&self) -> bool {
         matches!(self, Self::Held(Err(_)) | Self::Started(Err(_)) | Self::Done(Err(_)))
     }
@@ -166,50 +167,52 @@
         }
     }
 
-    /// What the pool is told of the answer.
-    pub fn event(self, reply: WorkerReply) -> Event {
+    /// The event that tells the pool of the reply.
+    pub fn into_event(self, reply: WorkerReply) -> Event {
         match (self, reply) {
             (Self::Hold { worker, turn }, reply) => {
                 let reply = match reply {
                     WorkerReply::Held(reply) => reply,
-                    other => Err(other.error()),
+                    other => Err(other.into_error()),
                 };
                 Event::Held { worker, turn, reply }
             }
             (Self::Start { worker, task, run }, reply) => {
                 let reply = match reply {
                     WorkerReply::Started(reply) => reply,
-                    other => Err(other.error()),
+                    other => Err(other.into_error()),
                 };
                 Event::Started { task, run, worker, reply }
             }
             (Self::Stop { worker, task, run }, reply) => {
-                Event::Stopped { task, run, worker, reply: reply.done() }
+                Event::Stopped { task, run, worker, reply: reply.into_done() }
             }
             (Self::Pace { worker, task, run }, reply) => {
-                Event::Paced { task, run, worker, reply: reply.done() }
+                Event::Paced { task, run, worker, reply: reply.into_done() }
             }
         }
     }
 }
 
 impl WorkerReply {
-    fn done(self) -> Result<(), CallError> {
+    fn into_done(self) -> Result<(), CallError> {
         match self {
             Self::Done(reply) => reply,
-            other => Err(other.error()),
+            other => Err(other.into_error()),
         }
     }
 
-    /// The error of a reply that is not of the kind expected.
-    fn error(self) -> CallError {
+    /// The error that stands for a reply of another kind than expected.
+    fn into_error(self) -> CallError {
         match self {
             Self::Failed(error)
             | Self::Held(Err(error))
             | Self::Started(Err(error))
             | Self::Done(Err(error)) => error,
             Self::Held(Ok(_)) | Self::Started(Ok(_)) | Self::Done(Ok(())) => {
-                tracing::error!("an executor answered another call than it was given");
+                tracing::error!(
+                    "the reply of an executor is not of its call's kind; it counts as no answer"
+                );
                 CallError::NoAnswer
             }
         }
@@ -217,14 +220,14 @@
 }
 
 impl Batch {
-    /// Orders for one executor.
+    /// A batch of numbered calls for one executor.
     pub fn new(calls: Vec<(u64, WorkerCall)>, expires_ms: u64) -> Self {
         let mut batch = Self { expires_ms, ..Self::default() };
-        let mut known: HashMap<*const u8, u32> = HashMap::new();
+        let mut payload_indexes: HashMap<*const u8, u32> = HashMap::new();
         for (number, call) in calls {
             let mut payload = 0;
             if let WorkerCall::Start(start) = &call {
-                payload = *known.entry(start.spec.as_ptr()).or_insert_with(|| {
+                payload = *payload_indexes.entry(start.spec.as_ptr()).or_insert_with(|| {
                     batch.payloads.push(Arc::clone(&start.spec));
                     batch.payloads.len() as u32 - 1
                 });
@@ -234,12 +237,12 @@
         batch
     }
 
-    /// Whether there is nothing in it.
+    /// Whether it has no calls.
     pub fn is_empty(&self) -> bool {
         self.orders.is_empty()
     }
 
-    /// The orders, with the payloads of starts in place.
+    /// The numbered calls; starts get their payloads back.
     pub fn into_calls(self) -> impl Iterator<Item = (u64, WorkerCall)> {
         let payloads = self.payloads;
         self.orders.into_iter().map(move |order| {
@@ -252,7 +255,8 @@
     }
 }
 
-/// Short numbers take one byte instead of eight; most of what is exchanged is numbers.
+/// Encodes integers with variable length: small ones take one byte instead of eight, and most
+/// of what is exchanged is integers.
 fn codec() -> impl Options {
     bincode::DefaultOptions::new()
 }
@@ -260,7 +264,7 @@
 /// Encodes a batch or replies.
 pub fn encode(value: &impl Serialize) -> Vec<u8> {
     codec().serialize(value).unwrap_or_else(|error| {
-        tracing::error!(%error, "a batch between daemons cannot be encoded");
+        tracing::error!(%error, "cannot encode a message to another daemon; sending an empty one");
         Vec::new()
     })
 }
@@ -270,7 +274,7 @@
     match codec().deserialize(bytes) {
         Ok(value) => Some(value),
         Err(error) => {
-            tracing::warn!(%error, bytes = bytes.len(), "a batch of another daemon cannot be read");
+            tracing::warn!(%error, bytes = bytes.len(), "cannot decode a message from another daemon");
             None
         }
     }
--- a/crates/node/src/executors/link.rs
+++ b/crates/node/src/executors/link.rs
@@ -26,43 +26,45 @@
 use crate::peers::NodeCall;
 use crate::peers::NodeReply;
 
-/// How long an executor waits for an answer to return.
+/// How long an executor waits for replies when the leader collects them.
 const COLLECT_WAIT_MS: u64 = 200;
-/// Added to it for the round trip between regions and a busy executor.
+/// Added to the wait for the round trip between regions and a busy executor.
 const COLLECT_MARGIN: Duration = Duration::from_millis(500);
 /// How long an executor may take to accept a batch.
 const EXECUTE_TIMEOUT: Duration = Duration::from_millis(600);
-/// Orders are gathered for this long.
-const GATHER: Duration = Duration::from_millis(10);
-/// Batches under way; what comes meanwhile goes with the next one.
-const BATCHES_MAX: usize = 4;
-/// An order that was made longer ago is not carried out any more: the leader's process
-/// stood still, or the order was held up, and the leader may have been replaced.
-const ORDER_AGE_MAX_MS: u64 = 700;
-/// After a session that failed the next one is tried after this ...
-const REOPEN_MIN: Duration = Duration::from_millis(500);
-/// ... and after this at the latest.
-const REOPEN_MAX: Duration = Duration::from_secs(8);
+/// How long calls are gathered for a batch.
+const GATHER_DELAY: Duration = Duration::from_millis(10);
+/// Maximum number of batches in flight. Further calls are queued for the next batch.
+const BATCHES_IN_FLIGHT_MAX: usize = 4;
+/// A queued call that is older than this is not sent, and a start that is older is not made
+/// by the executor. The leader's process was suspended or the call was delayed, and the
+/// leader may have been replaced.
+const CALL_AGE_MAX_MS: u64 = 700;
+/// Delay before a new session is opened after one that failed. It is doubled with each
+/// further failure ...
+const REOPEN_DELAY_MIN: Duration = Duration::from_millis(500);
+/// ... up to this.
+const REOPEN_DELAY_MAX: Duration = Duration::from_secs(8);
 
-/// A link to one executor.
+/// The leader's link to one executor.
 #[derive(Debug)]
 pub struct Link {
-    /// Where the executor is reached.
+    /// Address of the executor.
     pub address: String,
-    /// Sets this link apart in the choice of a worker's executor.
+    /// Hash seed of this link in the choice of a worker's executor.
     pub seed: u64,
     state: Mutex<State>,
-    pushed: Notify,
+    queued: Notify,
 }
 
 #[derive(Debug, Default)]
 struct State {
     phase: Phase,
-    /// The executor's clock, and when it was received.
+    /// The executor's clock, and the local time at which it was received.
     clock: Option<(u64, u64)>,
     queue: Vec<(u64, u64, WorkerCall)>,
     pending: HashMap<u64, PendingCall>,
-    numbers: u64,
+    last_number: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -75,37 +77,38 @@
 }
 
 impl Link {
-    /// A link that is not open yet.
+    /// A link without a session.
     pub fn new(address: String) -> Self {
         let seed = xxh3_64(address.as_bytes());
-        Self { address, seed, state: Mutex::default(), pushed: Notify::new() }
+        Self { address, seed, state: Mutex::default(), queued: Notify::new() }
     }
 
-    /// Whether it takes orders.
+    /// Whether it accepts calls.
     pub fn is_open(&self) -> bool {
         self.lock().phase == Phase::Open
     }
 
-    /// Whether it takes orders, or has not been tried yet.
-    pub fn may_work(&self) -> bool {
+    /// Whether it accepts calls, or its first session is still being opened.
+    pub fn is_usable(&self) -> bool {
         self.lock().phase != Phase::Failed
     }
 
-    /// Queues a call; gives it back if the link is not open.
-    pub fn push(&self, call: WorkerCall) -> Option<WorkerCall> {
+    /// Queues a call; returns it if the link is not open.
+    pub fn enqueue(&self, call: WorkerCall) -> Option<WorkerCall> {
         let mut state = self.lock();
         if state.phase != Phase::Open {
             return Some(call);
         }
-        state.numbers += 1;
-        let number = state.numbers;
+        state.last_number += 1;
+        let number = state.last_number;
         state.pending.insert(number, call.pending());
         state.queue.push((number, steady_ms(), call));
-        self.pushed.notify_one();
+        self.queued.notify_one();
         None
     }
 
-    /// Opens session after session.
+    /// Opens a session and, whenever one fails, the next one after a delay. `on_change` is
+    /// called when the link opens or fails.
     pub async fn run(
         &self,
         peers: &Peers,
@@ -113,31 +116,31 @@
         on_reply: impl Fn(PendingCall, WorkerReply),
         on_change: impl Fn(),
     ) {
-        let mut pause = REOPEN_MIN;
+        let mut delay = REOPEN_DELAY_MIN;
         loop {
             let session = next_session();
             if self.collect(peers, session, 0, &on_reply).await {
-                pause = REOPEN_MIN;
+                delay = REOPEN_DELAY_MIN;
                 self.lock().phase = Phase::Open;
                 tracing::info!(
                     executor = self.address,
                     session = session.number,
-                    "executor in use"
+                    "session with an executor opened"
                 );
                 on_change();
                 tokio::select! {
-                    () = self.collect_all(peers, session, &on_reply) => {}
-                    () = self.send_all(peers, session, &on_reply) => {}
+                    () = self.collect_replies(peers, session, &on_reply) => {}
+                    () = self.send_batches(peers, session, &on_reply) => {}
                 }
             }
-            self.fail(&on_reply);
+            self.mark_failed(&on_reply);
             on_change();
-            sleep(pause).await;
-            pause = (pause * 2).min(REOPEN_MAX);
+            sleep(delay).await;
+            delay = (delay * 2).min(REOPEN_DELAY_MAX);
         }
     }
 
-    async fn collect_all(
+    async fn collect_replies(
         &self,
         peers: &Peers,
         session: SessionId,
@@ -146,7 +149,7 @@
         while self.collect(peers, session, COLLECT_WAIT_MS, on_reply).await {}
     }
 
-    /// Fetches answers once; `false` if the executor gave none.
+    /// Collects replies once; `false` if the executor did not respond or refused.
     async fn collect(
         &self,
         peers: &Peers,
@@ -158,50 +161,54 @@
         let limit = Duration::from_millis(wait_ms) + COLLECT_MARGIN;
         let reply = peers.call::<NodeReply>(&self.address, &call, limit).await;
         let Ok(NodeReply::Collected { clock_ms, replies }) = reply else {
-            tracing::debug!(executor = self.address, ?reply, "nothing collected");
+            tracing::debug!(
+                executor = self.address,
+                ?reply,
+                "cannot collect replies from an executor"
+            );
             return false;
         };
         let Some(replies) = decode::<Replies>(&replies) else { return false };
-        let mut found = Vec::with_capacity(replies.len());
+        let mut answered = Vec::with_capacity(replies.len());
         {
             let mut state = self.lock();
-            // The clock was read before its time here, so orders never expire late.
+            // The executor read its clock before this moment, so calls never expire late.
             state.clock = Some((clock_ms, steady_ms()));
             for (number, reply) in replies {
                 if let Some(pending) = state.pending.remove(&number) {
-                    found.push((pending, reply));
+                    answered.push((pending, reply));
                 }
             }
         }
-        for (pending, reply) in found {
+        for (pending, reply) in answered {
             on_reply(pending, reply);
         }
         true
     }
 
-    /// Sends what is queued, in batches, until one is not accepted.
-    async fn send_all(
+    /// Sends queued calls in batches, until one is not accepted.
+    async fn send_batches(
         &self,
         peers: &Peers,
         session: SessionId,
         on_reply: &impl Fn(PendingCall, WorkerReply),
     ) {
-        let mut under_way: JoinSet<Result<(), (Vec<u64>, CallError)>> = JoinSet::new();
+        let mut in_flight: JoinSet<Result<(), (Vec<u64>, CallError)>> = JoinSet::new();
         loop {
             tokio::select! {
-                () = self.pushed.notified(), if under_way.len() < BATCHES_MAX => {}
-                Some(accepted) = under_way.join_next() => {
+                () = self.queued.notified(), if in_flight.len() < BATCHES_IN_FLIGHT_MAX => {}
+                Some(accepted) = in_flight.join_next() => {
                     let Ok(Err((numbers, error))) = accepted else { continue };
                     self.settle(&numbers, error, on_reply);
                     return;
                 }
             }
-            sleep(GATHER).await;
+            sleep(GATHER_DELAY).await;
             let Some((batch, numbers)) = self.next_batch(on_reply) else { continue };
             let peers = peers.clone();
             let address = self.address.clone();
             let call = NodeCall::Execute { session, batch: encode(&batch) };
-            under_way.spawn(async move {
+            in_flight.spawn(async move {
                 match peers.call::<NodeReply>(&address, &call, EXECUTE_TIMEOUT).await {
                     Ok(NodeReply::Noted) => Ok(()),
                     Ok(_) | Err(PeerError::NotSent(_)) => Err((numbers, CallError::NotSent)),
@@ -211,33 +218,35 @@
         }
     }
 
-    /// What is queued, but for orders that are too old to be sent.
+    /// A batch of the queued calls and their numbers. Calls that are too old are settled as
+    /// not sent. `None` if nothing is left to send.
     fn next_batch(
         &self,
         on_reply: &impl Fn(PendingCall, WorkerReply),
     ) -> Option<(Batch, Vec<u64>)> {
         let now_ms = steady_ms();
         let mut state = self.lock();
-        let (clock_ms, at_ms) = state.clock?;
-        let (fresh, old): (Vec<_>, Vec<_>) = std::mem::take(&mut state.queue)
+        let (clock_ms, received_ms) = state.clock?;
+        let (sendable, expired): (Vec<_>, Vec<_>) = std::mem::take(&mut state.queue)
             .into_iter()
-            .partition(|(_, made_ms, _)| *made_ms + ORDER_AGE_MAX_MS > now_ms);
+            .partition(|(_, enqueued_ms, _)| *enqueued_ms + CALL_AGE_MAX_MS > now_ms);
         drop(state);
-        let old: Vec<u64> = old.into_iter().map(|(number, ..)| number).collect();
-        self.settle(&old, CallError::NotSent, on_reply);
-        let numbers: Vec<u64> = fresh.iter().map(|(number, ..)| *number).collect();
-        let calls = fresh.into_iter().map(|(number, _, call)| (number, call)).collect();
-        let expires_ms = clock_ms + now_ms.saturating_sub(at_ms) + ORDER_AGE_MAX_MS;
+        let expired: Vec<u64> = expired.into_iter().map(|(number, ..)| number).collect();
+        self.settle(&expired, CallError::NotSent, on_reply);
+        let numbers: Vec<u64> = sendable.iter().map(|(number, ..)| *number).collect();
+        let calls = sendable.into_iter().map(|(number, _, call)| (number, call)).collect();
+        let expires_ms = clock_ms + now_ms.saturating_sub(received_ms) + CALL_AGE_MAX_MS;
         let batch = Batch::new(calls, expires_ms);
         (!batch.is_empty()).then_some((batch, numbers))
     }
 
-    /// Settles all that waits: what was not sent surely did nothing.
-    fn fail(&self, on_reply: &impl Fn(PendingCall, WorkerReply)) {
+    /// Marks the link as failed and settles all its calls: those still queued as not sent,
+    /// since they surely had no effect, those that were sent as unanswered.
+    fn mark_failed(&self, on_reply: &impl Fn(PendingCall, WorkerReply)) {
         let mut state = self.lock();
         if state.phase == Phase::Open {
             let pending = state.pending.len();
-            tracing::warn!(executor = self.address, pending, "executor lost");
+            tracing::warn!(executor = self.address, pending, "session with an executor failed");
         }
         state.phase = Phase::Failed;
         let queued: Vec<u64> = state.queue.drain(..).map(|(number, ..)| number).collect();
--- a/crates/node/src/executors/mod.rs
+++ b/crates/node/src/executors/mod.rs
@@ -1,10 +1,10 @@
 //! Calls to workers through other daemons.
 //!
 //! One leader decides for the whole pool. With many workers the calls cost it far more
-//! than the decisions, while other daemons are idle. So it hands its calls in batches
-//! to executors, daemons in the workers' zones, which make them and return the answers
-//! in batches. An executor decides nothing: orders carry the leader's token, and a call
-//! whose executor is lost is a call without answer, whatever became of it.
+//! than the decisions, while other daemons are idle. So it sends its calls in batches to
+//! executors, daemons in the workers' zones, which make the calls and return the replies
+//! in batches. An executor decides nothing: calls carry the leader's fencing token, and a
+//! call whose executor is lost counts as unanswered, whatever became of it.
 
 pub mod call;
 mod link;
@@ -38,10 +38,11 @@
 use crate::members::Member;
 use crate::outside::Outside;
 
-/// How long a new leader waits for its executors before it makes the first calls itself.
+/// How long a new leader waits for its executors before it starts to make calls, directly
+/// where there is no executor.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The leader's way to its workers.
+/// Makes the leader's calls to workers, directly or through executors.
 #[derive(Debug)]
 pub struct Executors<O> {
     outside: Arc<O>,
@@ -49,7 +50,7 @@
     epoch: u64,
     messages: InboxSender,
     state: Arc<Mutex<State>>,
-    /// Calls that the leader makes itself, and the links; all end with it.
+    /// Direct calls and the tasks of links; all are aborted when this is dropped.
     tasks: Mutex<JoinSet<()>>,
     /// Fires when a link opens or fails.
     changed: watch::Sender<()>,
@@ -61,16 +62,16 @@
     members: Vec<Member>,
     workers: BTreeMap<ZoneName, usize>,
     links: BTreeMap<ZoneName, Vec<Arc<Link>>>,
-    /// Whether the leader's decisions take most of its processor.
+    /// Whether the leader's decisions take up most of its processor time.
     busy: bool,
-    /// Workers whose last call through an executor failed; the leader calls them itself
-    /// until such a call fails as well.
-    detours: HashSet<WorkerId>,
-    sessions: u64,
+    /// Workers whose last call through an executor failed. The leader calls them directly
+    /// until a direct call fails as well.
+    direct_workers: HashSet<WorkerId>,
+    last_session: u64,
 }
 
 impl<O: Outside> Executors<O> {
-    /// No executors yet: the leader makes all calls itself.
+    /// Without executors; the leader makes all calls directly until members are known.
     pub fn new(
         outside: Arc<O>,
         peers: Peers,
@@ -84,27 +85,27 @@
             workers: BTreeMap::new(),
             links: BTreeMap::new(),
             busy: false,
-            detours: HashSet::new(),
-            sessions: 0,
+            direct_workers: HashSet::new(),
+            last_session: 0,
         };
         let state = Arc::new(Mutex::new(state));
         let tasks = Mutex::default();
         Self { outside, peers, epoch, messages, state, tasks, changed: watch::Sender::default() }
     }
 
-    /// Updates which daemons there are.
+    /// Updates the list of daemons that can be executors.
     pub fn update_members(&self, members: Vec<Member>) {
         self.lock().members = members;
         self.open_links();
     }
 
-    /// Updates how many workers each zone has.
+    /// Updates the number of workers in each zone.
     pub fn update_workers(&self, workers: BTreeMap<ZoneName, usize>) {
         self.lock().workers = workers;
         self.open_links();
     }
 
-    /// Updates how long the leader's decisions took of a period.
+    /// Updates how much time of a period the leader spent on decisions.
     pub fn update_load(&self, deciding_ms: u64, period_ms: u64) {
         let mut state = self.lock();
         let busy = is_busy(deciding_ms, period_ms, &state.me, state.busy);
@@ -113,7 +114,7 @@
                 busy,
                 deciding_ms,
                 period_ms,
-                "executors make calls while the leader is busy"
+                "load of the leader changed; executors make its calls while it is busy"
             );
         }
         state.busy = busy;
@@ -121,12 +122,15 @@
         self.open_links();
     }
 
-    /// Waits until each zone that needs an executor has one, but not for long.
+    /// Waits briefly until each zone that needs an executor has one.
     pub async fn wait_until_open(&self) {
         let mut changes = self.changed.subscribe();
         let all_open = async { while !self.is_open() && changes.changed().await.is_ok() {} };
         if timeout(OPEN_TIMEOUT, all_open).await.is_err() {
-            tracing::info!(epoch = self.epoch, "not every zone has an executor yet");
+            tracing::info!(
+                epoch = self.epoch,
+                "not every zone has an executor yet; calls to those zones are made directly"
+            );
         }
     }
 
@@ -136,11 +140,11 @@
             let state = self.lock();
             zone.and_then(|zone| state.route(zone, call.worker()))
         };
-        let returned = match link {
-            Some(link) => link.push(call),
+        let rejected_call = match link {
+            Some(link) => link.enqueue(call),
             None => Some(call),
         };
-        if let Some(call) = returned {
+        if let Some(call) = rejected_call {
             self.call_directly(call);
         }
     }
@@ -153,13 +157,13 @@
         self.spawn(async move {
             let reply = call.perform(&*outside).await;
             if reply.is_unanswered() {
-                lock(&state).detours.remove(pending.worker());
+                lock(&state).direct_workers.remove(pending.worker());
             }
-            messages.notify(pending.event(reply));
+            messages.notify(pending.into_event(reply));
         });
     }
 
-    /// Opens links where a zone has too few that work.
+    /// Opens links to further executors in zones that have too few usable ones.
     fn open_links(&self) {
         let mut state = self.lock();
         if !state.uses_executors() {
@@ -168,7 +172,7 @@
         for (zone, workers) in state.workers.clone() {
             for member in executor_candidates(&zone, &state.members, &state.me) {
                 let links = state.links.entry(zone.clone()).or_default();
-                if links.iter().filter(|link| link.may_work()).count() >= executors_wanted(workers)
+                if links.iter().filter(|link| link.is_usable()).count() >= executors_wanted(workers)
                 {
                     break;
                 }
@@ -177,13 +181,13 @@
                 }
                 let link = Arc::new(Link::new(member.address.clone()));
                 links.push(Arc::clone(&link));
-                self.keep_open(link);
+                self.run_link(link);
             }
         }
     }
 
-    /// Keeps a session with an executor for as long as this daemon leads.
-    fn keep_open(&self, link: Arc<Link>) {
+    /// Keeps a session open with an executor for as long as this daemon leads.
+    fn run_link(&self, link: Arc<Link>) {
         let peers = self.peers.clone();
         let messages = self.messages.clone();
         let shared = Arc::clone(&self.state);
@@ -191,16 +195,16 @@
         let epoch = self.epoch;
         let on_reply = move |pending: call::PendingCall, reply: WorkerReply| {
             if reply.is_unanswered() {
-                lock(&shared).detours.insert(pending.worker().clone());
+                lock(&shared).direct_workers.insert(pending.worker().clone());
             }
-            messages.notify(pending.event(reply));
+            messages.notify(pending.into_event(reply));
         };
         let next_session = {
             let shared = Arc::clone(&self.state);
             move || {
                 let mut state = lock(&shared);
-                state.sessions += 1;
-                session::SessionId { epoch, number: state.sessions }
+                state.last_session += 1;
+                session::SessionId { epoch, number: state.last_session }
             }
         };
         self.spawn(async move {
@@ -227,10 +231,10 @@
 
     fn is_open(&self) -> bool {
         let state = self.lock();
-        let has_link = |zone: &ZoneName| {
+        let has_open_link = |zone: &ZoneName| {
             state.links.get(zone).is_some_and(|links| links.iter().any(|link| link.is_open()))
         };
-        !state.uses_executors() || state.workers.keys().all(has_link)
+        !state.uses_executors() || state.workers.keys().all(has_open_link)
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -243,19 +247,20 @@
 }
 
 impl State {
-    /// Whether calls go through executors now.
+    /// Whether calls currently go through executors.
     fn uses_executors(&self) -> bool {
         self.busy || needs_executors(self.workers.values().sum(), &self.me)
     }
 
-    /// The executor for a worker: always the same while it works, so that its
-    /// connections to the worker are kept.
+    /// The executor for a worker: always the same one while its link is open, so that
+    /// connections to the worker are reused. `None` if the worker is called directly.
     fn route(&self, zone: &ZoneName, worker: &WorkerId) -> Option<Arc<Link>> {
-        if !self.uses_executors() || self.detours.contains(worker) {
+        if !self.uses_executors() || self.direct_workers.contains(worker) {
             return None;
         }
         let open = self.links.get(zone)?.iter().filter(|link| link.is_open());
-        let best = open.max_by_key(|link| xxh3_64_with_seed(worker.as_str().as_bytes(), link.seed));
-        best.cloned()
+        let executor =
+            open.max_by_key(|link| xxh3_64_with_seed(worker.as_str().as_bytes(), link.seed));
+        executor.cloned()
     }
 }
--- a/crates/node/src/executors/session.rs
+++ b/crates/node/src/executors/session.rs
@@ -1,4 +1,4 @@
-//! The executor's side: carries out the leader's orders and keeps the answers for it.
+//! The executor's side: makes the leader's calls and keeps the replies until it collects them.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -20,23 +20,24 @@
 use crate::clock::steady_ms;
 use crate::outside::Outside;
 
-/// Once there is an answer, how long further ones are waited for.
-const GATHER: Duration = Duration::from_millis(12);
+/// How long to wait for further replies once there is one.
+const GATHER_DELAY: Duration = Duration::from_millis(12);
 
-/// A leader's use of one executor, from its first call to the first that fails.
+/// Identifies a session: a leader's use of one executor, from its first call to the executor
+/// to the first that fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SessionId {
     /// The leader's epoch.
     pub epoch: u64,
-    /// Rises with each session of the leader.
+    /// Rises with each session of the leader, with any executor.
     pub number: u64,
 }
 
-/// Carries out orders of the newest session.
+/// Makes the calls of the newest session.
 #[derive(Debug)]
 pub struct Executor<O> {
     outside: Arc<O>,
-    newest: Mutex<Option<Arc<Session>>>,
+    current: Mutex<Option<Arc<Session>>>,
 }
 
 #[derive(Debug)]
@@ -47,12 +48,12 @@
 }
 
 impl<O: Outside> Executor<O> {
-    /// An executor that no leader uses yet.
+    /// An executor without a session.
     pub fn new(outside: Arc<O>) -> Self {
-        Self { outside, newest: Mutex::default() }
+        Self { outside, current: Mutex::default() }
     }
 
-    /// Begins to carry a batch out; `false` if a newer session took the place of this one.
+    /// Begins to make the calls of a batch; `false` if a newer session replaced this one.
     pub fn execute(&self, id: SessionId, batch: Batch) -> bool {
         let Some(session) = self.session(id) else { return false };
         let expires_ms = batch.expires_ms;
@@ -60,10 +61,10 @@
             let session = Arc::clone(&session);
             let outside = Arc::clone(&self.outside);
             tokio::spawn(async move {
-                // A start that was held up on its way may belong to a leader that was
+                // A start that was delayed on its way may come from a leader that has been
                 // replaced meanwhile.
-                let late = matches!(call, WorkerCall::Start(_)) && steady_ms() > expires_ms;
-                let reply = if late {
+                let is_expired = matches!(call, WorkerCall::Start(_)) && steady_ms() > expires_ms;
+                let reply = if is_expired {
                     WorkerReply::Failed(CallError::NotSent)
                 } else {
                     call.perform(&*outside).await
@@ -75,26 +76,31 @@
         true
     }
 
-    /// Waits for answers; `None` if a newer session took the place of this one.
+    /// Waits for replies, at most `wait_ms` for the first one, and returns those there are.
+    /// `None` if a newer session replaced this one.
     pub async fn collect(&self, id: SessionId, wait_ms: u64) -> Option<Replies> {
         let session = self.session(id)?;
         let wait = Duration::from_millis(wait_ms);
         if session.lock().is_empty() && timeout(wait, session.replied.notified()).await.is_ok() {
-            sleep(GATHER).await;
+            sleep(GATHER_DELAY).await;
         }
         Some(std::mem::take(&mut *session.lock()))
     }
 
     fn session(&self, id: SessionId) -> Option<Arc<Session>> {
-        let mut newest = self.newest.lock().unwrap_or_else(PoisonError::into_inner);
-        let known = newest.as_ref().filter(|session| session.id >= id);
-        if let Some(session) = known {
+        let mut current = self.current.lock().unwrap_or_else(PoisonError::into_inner);
+        let existing = current.as_ref().filter(|session| session.id >= id);
+        if let Some(session) = existing {
             return (session.id == id).then(|| Arc::clone(session));
         }
-        tracing::info!(epoch = id.epoch, number = id.number, "executes for a leader");
+        tracing::info!(
+            epoch = id.epoch,
+            number = id.number,
+            "new session: making calls for a leader"
+        );
         let replied = Notify::new();
         let session = Arc::new(Session { id, replies: Mutex::default(), replied });
-        *newest = Some(Arc::clone(&session));
+        *current = Some(Arc::clone(&session));
         Some(session)
     }
 }
--- a/crates/node/src/leader.rs
+++ b/crates/node/src/leader.rs
@@ -1,9 +1,8 @@
-//! The scheduler of the pool, while this daemon holds the duty.
+//! The leader: schedules the pool while this daemon holds the leader lease.
 //!
-//! One task owns the [`Pool`]; messages reach it through a channel and are handled
-//! as many as there are before it decides again. Another task renews the row that says
-//! who leads. Batches are written under fences, so that nothing a former leader writes
-//! can take effect.
+//! One task owns the [`Pool`]. Messages reach it through a channel; before each decision it
+//! handles those that are queued, within a time budget. Another task renews the leader lease.
+//! Batches are written under fences, so that no write of an earlier leader can take effect.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -57,47 +56,47 @@
 use crate::peers::NodeCall;
 use crate::submissions::Submissions;
 
-/// The longest that the pool is left alone.
+/// Longest wait for a message before the next scheduling cycle.
 const IDLE_WAIT_MAX_MS: u64 = 50;
-/// A turn that took longer is followed by a rest of the same length ...
-const REST_MIN: Duration = Duration::from_micros(300);
-/// ... but of this at most.
-const REST_MAX: Duration = Duration::from_millis(10);
-/// How often gauges are set.
-const MEASURE_EVERY_MS: u64 = 1_000;
-/// Everything a scheduler needs of its daemon.
+/// A cycle that took at least this long is followed by a pause of the same length ...
+const PAUSE_MIN: Duration = Duration::from_micros(300);
+/// ... but of at most this.
+const PAUSE_MAX: Duration = Duration::from_millis(10);
+/// Interval between updates of the gauges.
+const MEASURE_INTERVAL_MS: u64 = 1_000;
+/// What the scheduler needs from its daemon.
 #[derive(Debug)]
 pub struct Leader<O> {
-    /// The outside world.
+    /// The store, the workers and the advisor.
     pub outside: Arc<O>,
-    /// The duty as it was won.
+    /// The leader lease, as it was acquired.
     pub lease: HeldLease,
-    /// The pool's figures.
+    /// Limits that the installation sets for the pool.
     pub limits: Limits,
     /// Whether the store answers.
     pub health: Arc<StoreHealth>,
-    /// Who asks the advisor.
+    /// Sends the scheduler's queries to the advisor.
     pub advisors: Arc<AdvisorDispatcher<O>>,
-    /// The way to other daemons.
+    /// Connections to other daemons.
     pub peers: Peers,
-    /// Tells other daemons of this one.
+    /// Has the newest manifest, and answers other daemons' probes of the leader.
     pub gateway: Arc<Gateway<O>>,
-    /// This daemon, as others know it.
+    /// What other daemons know of this one.
     pub member: Member,
-    /// Questions of this daemon's callers and of other daemons.
+    /// Queries of this daemon's callers and of other daemons.
     pub queries: mpsc::Receiver<Query>,
     /// Fires when the daemon stops.
     pub stop: tokio::sync::watch::Receiver<bool>,
 }
 
 impl<O: Outside> Leader<O> {
-    /// Schedules until another daemon does or this one stops.
+    /// Schedules until another daemon leads or this one stops.
     pub async fn run(mut self) {
-        let began_ms = steady_ms();
+        let started_ms = steady_ms();
         let epoch = self.lease.row.epoch;
         let (messages, mut inbox) = inbox();
         let mut tasks = JoinSet::new();
-        let renewed_ms = Arc::new(AtomicU64::new(began_ms));
+        let renewed_ms = Arc::new(AtomicU64::new(started_ms));
         tasks.spawn(renew_lease_and_notify(
             Arc::clone(&self.outside),
             self.lease.clone(),
@@ -113,75 +112,97 @@
             epoch,
             messages.clone(),
         ));
-        let replacing = Arc::clone(&executors);
-        tasks.spawn(async move { replacing.replace_failed().await });
+        let failover = Arc::clone(&executors);
+        tasks.spawn(async move { failover.replace_failed().await });
         let loaded = self.load(epoch, &mut tasks, &messages, &mut inbox, &executors).await;
         let Some((mut pool, writer)) = loaded else { return };
         let mut submissions = Submissions::default();
         executors.wait_until_open().await;
-        tracing::info!(epoch, took_ms = steady_ms() - began_ms, "scheduler ready");
+        tracing::info!(epoch, took_ms = steady_ms() - started_ms, "scheduler ready");
         metrics::counter!("stoatwell_takeovers_total").increment(1);
         let mut measured_ms = 0;
-        let mut meter = TurnMeter::default();
-        let mut decided = Duration::ZERO;
+        let mut cycle_meter = TurnMeter::default();
+        let mut decision_time = Duration::ZERO;
         loop {
             let wait_ms = pool.idle_ms(steady_ms()).clamp(1, IDLE_WAIT_MAX_MS);
-            let first = tokio::select! {
+            let first_message = tokio::select! {
                 biased;
-                first = inbox.recv() => first,
+                first_message = inbox.recv() => first_message,
                 Some(query) = self.queries.recv() => Some(Message::Query(query)),
                 () = tokio::time::sleep(Duration::from_millis(wait_ms)) => None,
             };
-            let began = Instant::now();
-            let fresh = is_fresh(&renewed_ms);
-            let mut budget = MessageBudget::after_decision(decided);
-            if !handle_all(&mut pool, &mut submissions, first, &mut inbox, &mut budget, fresh) {
+            let cycle_started = Instant::now();
+            let has_fresh_lease = is_lease_fresh(&renewed_ms);
+            let mut budget = MessageBudget::after_decision(decision_time);
+            if !handle_all(
+                &mut pool,
+                &mut submissions,
+                first_message,
+                &mut inbox,
+                &mut budget,
+                has_fresh_lease,
+            ) {
                 return;
             }
             while budget.next_burst() {
                 tokio::task::yield_now().await;
-                if !handle_all(&mut pool, &mut submissions, None, &mut inbox, &mut budget, fresh) {
+                if !handle_all(
+                    &mut pool,
+                    &mut submissions,
+                    None,
+                    &mut inbox,
+                    &mut budget,
+                    has_fresh_lease,
+                ) {
                     return;
                 }
             }
             while let Ok(query) = self.queries.try_recv() {
-                answer(&mut pool, &mut submissions, query, fresh);
+                answer_query(&mut pool, &mut submissions, query, has_fresh_lease);
             }
-            let handled = Instant::now();
+            let handled_at = Instant::now();
             pool.note_renewal(renewed_ms.load(Ordering::Relaxed));
             let effects = pool.pump(steady_ms(), unix_ms());
-            let pumped = Instant::now();
-            decided = pumped - handled;
+            let decided_at = Instant::now();
+            decision_time = decided_at - handled_at;
             for effect in effects {
                 if effect == Effect::StepDown {
-                    tracing::warn!(epoch, "stepping down: a worker follows another scheduler");
+                    tracing::warn!(
+                        epoch,
+                        "stepping down: a worker has seen the fencing token of a later leader"
+                    );
                     return;
                 }
                 if let Effect::Answer { job, accepted } = effect {
                     submissions.settle(job, accepted);
                     continue;
                 }
-                self.carry_out(effect, &pool, &executors, &messages, &writer, &mut tasks);
+                self.execute_effect(effect, &pool, &executors, &messages, &writer, &mut tasks);
             }
             while tasks.try_join_next().is_some() {}
-            meter.add(handled - began, pumped - handled, pumped.elapsed());
-            // Under load messages gather, and a turn costs less for each of them.
-            let rest = began.elapsed().min(REST_MAX);
-            if rest >= REST_MIN {
-                tokio::time::sleep(rest).await;
+            cycle_meter.add(
+                handled_at - cycle_started,
+                decided_at - handled_at,
+                decided_at.elapsed(),
+            );
+            // Under load, messages accumulate in the pause, and a cycle costs less per message.
+            let pause = cycle_started.elapsed().min(PAUSE_MAX);
+            if pause >= PAUSE_MIN {
+                tokio::time::sleep(pause).await;
             }
-            if steady_ms() >= measured_ms + MEASURE_EVERY_MS {
+            if steady_ms() >= measured_ms + MEASURE_INTERVAL_MS {
                 let period_ms = steady_ms() - measured_ms;
                 measured_ms = steady_ms();
-                measure(&pool, &meter);
-                executors.update_load(meter.total().as_millis() as u64, period_ms);
-                meter = TurnMeter::default();
+                measure(&pool, &cycle_meter);
+                executors.update_load(cycle_meter.total().as_millis() as u64, period_ms);
+                cycle_meter = TurnMeter::default();
                 executors.update_workers(pool.workers_by_zone());
             }
         }
     }
 
-    /// Reads everything that lasts, and begins to follow it.
+    /// Fences the partitions, restores the pool's state from the store and begins to follow
+    /// changes; `None` if another daemon leads now.
     async fn load(
         &self,
         epoch: u64,
@@ -195,9 +216,9 @@
             Fence { holder: row.holder.clone(), incarnation: row.incarnation, epoch, beat: 0 };
         let versions = tokio::select! {
             versions = claim_fences(&self.outside, &self.health, &fence) => versions?,
-            () = deposed(inbox) => return None,
+            () = wait_until_deposed(inbox) => return None,
         };
-        let claimed = versions.iter().copied().max().unwrap_or(0).max(self.lease.version);
+        let claimed_version = versions.iter().copied().max().unwrap_or(0).max(self.lease.version);
         let writer = Arc::new(Writer {
             outside: Arc::clone(&self.outside),
             health: Arc::clone(&self.health),
@@ -210,41 +231,41 @@
             health: Arc::clone(&self.health),
             messages: messages.clone(),
         });
-        let all = async {
+        let tables = async {
             tokio::join!(
                 follower.workers_and_executors(executors),
-                follower.read_since(Table::Jobs, claimed),
-                follower.read_since(Table::Cancels, claimed),
-                follower.read_since(Table::Progress, claimed),
+                follower.read_since(Table::Jobs, claimed_version),
+                follower.read_since(Table::Cancels, claimed_version),
+                follower.read_since(Table::Progress, claimed_version),
             )
         };
         let (workers, jobs, cancels, progress) = tokio::select! {
-            all = all => all,
-            () = deposed(inbox) => return None,
+            loaded = tables => loaded,
+            () = wait_until_deposed(inbox) => return None,
         };
         let earlier_extends_ms = self.lease.row.earlier_extends_ms;
         let election = Election { epoch, earlier_extends_ms };
         let mut pool = Pool::new(election, self.limits, steady_ms(), unix_ms());
         let manifest = self.gateway.manifest().newest();
-        let limits = customers(&manifest);
+        let limits = customer_limits(&manifest);
         pool.handle(steady_ms(), unix_ms(), Event::Customers { limits });
         tasks.spawn(forward_customers(
             Arc::clone(self.gateway.manifest()),
             manifest.version,
             messages.clone(),
         ));
-        let mut done = std::collections::HashMap::new();
+        let mut progress_by_job = std::collections::HashMap::new();
         for row in &progress.rows {
             if let Some((id, value)) = read_row::<Progress>(row) {
-                done.insert(id, value);
+                progress_by_job.insert(id, value);
             }
         }
         let (mut count, mut open) = (0, 0);
         let mut specs: Vec<(JobId, JobSpec)> = jobs.rows.iter().filter_map(read_row).collect();
-        // What is within a customer's weight is reckoned in the order of arrival.
+        // Which jobs are within a customer's weight depends on their order of arrival.
         specs.sort_by_key(|(_, spec)| spec.accepted_unix_ms);
         for (id, spec) in specs {
-            let progress = done.get(&id);
+            let progress = progress_by_job.get(&id);
             count += 1;
             open += usize::from(progress.is_none_or(|progress| progress.outcome.is_none()));
             pool.restore(id, Arc::new(spec), progress);
@@ -260,7 +281,7 @@
             jobs = count,
             open,
             workers = workers.listed.len(),
-            "state read back"
+            "state restored from the store"
         );
         for listed in workers.listed {
             pool.handle(steady_ms(), unix_ms(), Event::Listed(listed));
@@ -268,14 +289,14 @@
         tasks.spawn(Arc::clone(&follower).follow(Table::Jobs, jobs.version));
         tasks.spawn(Arc::clone(&follower).follow(Table::Cancels, cancels.version));
         tasks.spawn(Arc::clone(&follower).follow_workers(version));
-        let leads = NodeCall::Leads { epoch, address: self.lease.row.address.clone() };
+        let leads_call = NodeCall::Leads { epoch, address: self.lease.row.address.clone() };
         let (advisors, executors) = (Arc::clone(&self.advisors), Arc::clone(executors));
         let gateway = Arc::clone(&self.gateway);
-        tasks.spawn(follower.track_members(advisors, executors, gateway, leads));
+        tasks.spawn(follower.track_members(advisors, executors, gateway, leads_call));
         Some((pool, writer))
     }
 
-    fn carry_out(
+    fn execute_effect(
         &self,
         effect: Effect,
         pool: &Pool,
@@ -308,7 +329,7 @@
     }
 }
 
-/// Tells the scheduler of the customers of each newer manifest.
+/// Sends the customers' limits of each newer manifest to the scheduler.
 async fn forward_customers(
     in_force: Arc<ManifestInForce>,
     mut version: u64,
@@ -317,16 +338,16 @@
     loop {
         let manifest = in_force.newer_than(version).await;
         version = manifest.version;
-        messages.notify(Event::Customers { limits: customers(&manifest) });
+        messages.notify(Event::Customers { limits: customer_limits(&manifest) });
     }
 }
 
-fn customers(manifest: &Manifest) -> Vec<CustomerLimits> {
+fn customer_limits(manifest: &Manifest) -> Vec<CustomerLimits> {
     let Some(directory) = &manifest.customers else { return Vec::new() };
     directory.customers().iter().map(CustomerLimits::of).collect()
 }
 
-async fn deposed(inbox: &mut Inbox) {
+async fn wait_until_deposed(inbox: &mut Inbox) {
     while let Some(message) = inbox.recv_control().await {
         if matches!(message, Message::Deposed) {
             return;
@@ -346,40 +367,46 @@
     messages.depose();
 }
 
-/// Handles a message and those that wait behind it; `false` if another daemon leads now.
+/// Handles a message and those queued behind it, as far as the budget allows. Returns `false`
+/// if another daemon leads now.
 fn handle_all(
     pool: &mut Pool,
     submissions: &mut Submissions,
-    first: Option<Message>,
+    first_message: Option<Message>,
     inbox: &mut Inbox,
     budget: &mut MessageBudget,
-    fresh: bool,
+    has_fresh_lease: bool,
 ) -> bool {
-    let more = std::iter::from_fn(|| inbox.try_recv(budget));
-    for message in first.into_iter().chain(more) {
+    let queued = std::iter::from_fn(|| inbox.try_recv(budget));
+    for message in first_message.into_iter().chain(queued) {
         match message {
             Message::Deposed => return false,
             Message::Event(event) => {
                 count(&event);
                 pool.handle(steady_ms(), unix_ms(), event);
             }
-            Message::Query(query) => answer(pool, submissions, query, fresh),
+            Message::Query(query) => answer_query(pool, submissions, query, has_fresh_lease),
         }
     }
     true
 }
 
-/// Whether the duty was renewed of late. A scheduler that is cut off from the
-/// store may have been replaced and not know it; it keeps its workers' leases
-/// until it learns so, but does not tell how much work waits.
-fn is_fresh(renewed_ms: &AtomicU64) -> bool {
+/// Whether the leader lease was renewed within its duration. A leader that is cut off from
+/// the store may have been replaced without knowing it. It keeps extending its workers'
+/// leases until it learns so, but does not report the number of pending jobs.
+fn is_lease_fresh(renewed_ms: &AtomicU64) -> bool {
     steady_ms().saturating_sub(renewed_ms.load(Ordering::Relaxed)) < LEADER_LEASE_MS
 }
 
-fn answer(pool: &mut Pool, submissions: &mut Submissions, query: Query, fresh: bool) {
-    let asked = match query {
-        Query::Submit(job, row, answer) => {
-            submissions.hand_in(pool, job, &row, answer);
+fn answer_query(
+    pool: &mut Pool,
+    submissions: &mut Submissions,
+    query: Query,
+    has_fresh_lease: bool,
+) {
+    let is_delivered = match query {
+        Query::Submit(job, row, reply_sender) => {
+            submissions.hand_in(pool, job, &row, reply_sender);
             true
         }
         Query::Accepted(job, row) => {
@@ -389,7 +416,7 @@
                     pool.handle(steady_ms(), unix_ms(), event);
                 }
                 Err(error) => {
-                    tracing::warn!(%job, %error, "a daemon's row of a job cannot be read");
+                    tracing::warn!(%job, %error, "cannot decode the row of a job that a daemon accepted");
                 }
             }
             true
@@ -398,13 +425,15 @@
             pool.handle(steady_ms(), unix_ms(), Event::Cancelled { job });
             true
         }
-        Query::State(job, answer) => answer.send(pool.view(job)).is_ok(),
-        Query::Pending(_, _) if !fresh => true,
-        Query::Pending(queue, answer) => answer.send(pool.pending(&queue) as u64).is_ok(),
-        Query::Dump(answer) => answer.send(pool.dump()).is_ok(),
-        Query::Explain(job, answer) => answer.send(pool.explain(job)).is_ok(),
+        Query::State(job, reply_sender) => reply_sender.send(pool.view(job)).is_ok(),
+        Query::Pending(_, _) if !has_fresh_lease => true,
+        Query::Pending(queue, reply_sender) => {
+            reply_sender.send(pool.pending(&queue) as u64).is_ok()
+        }
+        Query::Dump(reply_sender) => reply_sender.send(pool.dump()).is_ok(),
+        Query::Explain(job, reply_sender) => reply_sender.send(pool.explain(job)).is_ok(),
     };
-    if !asked {
-        tracing::debug!("a question's caller left before the answer");
+    if !is_delivered {
+        tracing::debug!("the caller of a query left before the reply");
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,8 @@
 //! One daemon of a pool.
 //!
-//! Every daemon is a gateway: it makes jobs durable in the store and answers
-//! what becomes of them. One of them is elected to schedule. There is nothing
-//! else to agree on, and nothing is kept but in the store.
+//! Every daemon is a gateway: it makes jobs durable in the store and reports
+//! their state. One daemon is elected leader and schedules the jobs. Daemons
+//! agree on nothing else, and all persistent state is in the store.
 
 mod accept;
 mod advisor_dispatcher;
@@ -72,29 +72,30 @@
 pub use crate::outside::WorkerChanges;
 pub use crate::outside::shard;
 
-/// Who a daemon is and how it is set up.
+/// Identity and settings of a daemon.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// Its name.
+    /// Name of the daemon, by which the pool tells daemons apart.
     pub name: String,
-    /// Where other daemons reach it.
+    /// Address at which other daemons reach it.
     pub address: String,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Its share of a core times the core's speed.
+    /// Its share of a core, multiplied by the core's speed.
     pub cores: f64,
-    /// What its machine's link carries.
+    /// Bandwidth of its machine's network link, in Mbit/s.
     pub link_mbps: f64,
-    /// The pool's figures.
+    /// Limits that the installation sets for the pool.
     pub limits: Limits,
-    /// Shared by the daemons; a stranger's connection is closed.
+    /// Secret that the daemons share; connections without it are closed.
     pub peer_key: String,
-    /// How long a key may go on working after it was taken away; none is not bounded.
+    /// How long a customer's key may still be accepted after its revocation; `None` sets no
+    /// bound.
     pub revoke_ms: Option<u64>,
 }
 
 impl NodeSettings {
-    /// What other daemons are told of this one.
+    /// What other daemons know of this one.
     pub fn member(&self) -> Member {
         Member {
             address: self.address.clone(),
@@ -116,7 +117,7 @@
 }
 
 impl<O: Outside> Node<O> {
-    /// Starts the daemon's tasks; peers connect to the listener.
+    /// Starts the daemon's tasks. Other daemons connect to `listener`.
     pub fn start(settings: &NodeSettings, outside: Arc<O>, listener: TcpListener) -> Self {
         let health = Arc::new(StoreHealth::default());
         let manifest = Arc::new(ManifestInForce::new(settings.revoke_ms.map(ProofLimits::new)));
@@ -129,17 +130,17 @@
             Arc::clone(&health),
             Arc::clone(&manifest),
         ));
-        let (stop, stopping) = tokio::sync::watch::channel(false);
-        let (stopped_out, stopped) = tokio::sync::watch::channel(false);
-        let (leading_out, leading) = tokio::sync::watch::channel(None);
+        let (stop, stop_receiver) = tokio::sync::watch::channel(false);
+        let (stopped_sender, stopped) = tokio::sync::watch::channel(false);
+        let (leading_sender, leading) = tokio::sync::watch::channel(None);
         tokio::spawn(manifest::follow(
             Arc::clone(&outside),
             Arc::clone(&health),
             Arc::clone(&manifest),
         ));
-        let leads = leading.clone();
+        let leading_receiver = leading.clone();
         tokio::spawn(manifest::confirm(Arc::clone(&outside), Arc::clone(&manifest), move || {
-            leads.borrow().is_some()
+            leading_receiver.borrow().is_some()
         }));
         tokio::spawn(serve_peers(listener, settings.peer_key.clone(), Arc::clone(&gateway)));
         tokio::spawn(health::probe(Arc::clone(&outside), Arc::clone(&health)));
@@ -160,41 +161,42 @@
             gateway: Arc::clone(&gateway),
             advisors,
             peers,
-            stop: stopping,
-            leading: leading_out,
+            stop: stop_receiver,
+            leading: leading_sender,
         };
         tokio::spawn(async move {
             watch.run().await;
-            if stopped_out.send(true).is_err() {
-                tracing::debug!("nobody waits for the scheduler's end");
+            if stopped_sender.send(true).is_err() {
+                tracing::debug!("the node was dropped before its scheduler ended");
             }
         });
         Self { gateway, manifest, stop, stopped, leading }
     }
 
-    /// Answers callers.
+    /// The gateway that answers callers.
     pub fn gateway(&self) -> &Arc<Gateway<O>> {
         &self.gateway
     }
 
-    /// The manifest that callers are held against.
+    /// The manifest by which callers are admitted.
     pub fn manifest(&self) -> &Arc<ManifestInForce> {
         &self.manifest
     }
 
-    /// The way to the scheduler's state, while it is this daemon.
+    /// The scheduler's query channel; `None` while another daemon leads.
     pub fn scheduler(&self) -> Option<tokio::sync::mpsc::Sender<Query>> {
         self.leading.borrow().clone()
     }
 
-    /// Gives the duty up, if it is held; callers are still answered.
+    /// Releases the leader lease, if it is held, and waits until that is done. Callers are
+    /// still answered.
     pub async fn stop(&self) {
         if self.stop.send(true).is_err() {
             return;
         }
         let mut stopped = self.stopped.clone();
         if stopped.wait_for(|stopped| *stopped).await.is_err() {
-            tracing::debug!("the scheduler ended before it was waited for");
+            tracing::debug!("the scheduler ended without reporting its stop");
         }
     }
 }
@@ -205,6 +207,6 @@
         async move { gateway.answer(call).await }
     };
     if let Err(error) = stoatwell_peer::serve(listener, key, Traffic::default(), handler).await {
-        tracing::error!(%error, "peers can no longer connect");
+        tracing::error!(%error, "the peer listener failed; other daemons can no longer connect");
     }
 }
