--- a/crates/node/src/advisor_dispatcher.rs
+++ b/crates/node/src/advisor_dispatcher.rs
@@ -142,7 +142,10 @@
             let asked = workers.len();
             let took_ms = steady_ms() - sent_ms;
             let Some(granted) = granted else {
-                tracing::warn!(%step, through = address, asked, took_ms, "no answer from the advisor");
+                tracing::warn!(
+                    %step, through = address, asked, took_ms,
+                    "no answer from the advisor"
+                );
                 if took_ms > RETRY_ELAPSED_MAX_MS {
                     return None;
                 }
--- a/crates/node/src/commit/writer.rs
+++ b/crates/node/src/commit/writer.rs
@@ -141,7 +141,10 @@
             Err(StoreError::Conflict(rows)) => self.resolve(writes, &rows),
             Err(error) => {
                 let part = writes.first().map(|write| write.part);
-                tracing::warn!(%error, part, parts = writes.len(), "the leader's write failed; retrying");
+                tracing::warn!(
+                    %error, part, parts = writes.len(),
+                    "the leader's write failed; retrying"
+                );
                 if error == StoreError::NoAnswer {
                     WriteOutcome::InDoubt
                 } else {
--- a/crates/node/src/election.rs
+++ b/crates/node/src/election.rs
@@ -25,7 +25,7 @@
 /// is only unreachable from other daemons still renews its row.
 pub const FAILED_LEADER_TIMEOUT_MS: u64 = RENEW_INTERVAL_MS + 100;
 /// Added to [`FAILED_LEADER_TIMEOUT_MS`], in usual response times of the store.
-const FAILED_LEADER_ANSWERS: u64 = 2;
+const FAILED_LEADER_RESPONSE_TIMES: u64 = 2;
 /// Others may see a renewal this much earlier than the leader gets the response to its
 /// write: several response times of a slow store.
 const RENEWAL_LAG_MS: u64 = 400;
@@ -146,8 +146,8 @@
         let is_own = self.row.as_ref().is_some_and(|(row, _)| row.holder == candidate.name);
         let since_ms = self.changed_ms.max(self.writable_since_ms);
         if is_own {
-            // Other daemons may not claim it yet, and for longer than the choice of a more
-            // suitable leader could make up for.
+            // No other daemon may claim the row yet, and waiting until one may would cost more
+            // time than a more suitable leader could make up for.
             return since_ms;
         }
         if is_free {
@@ -155,7 +155,7 @@
         }
         let timeout_ms = match holder {
             Liveness::Gone | Liveness::Isolated => {
-                FAILED_LEADER_TIMEOUT_MS + candidate.store_answer_ms * FAILED_LEADER_ANSWERS
+                FAILED_LEADER_TIMEOUT_MS + candidate.store_answer_ms * FAILED_LEADER_RESPONSE_TIMES
             }
             Liveness::Healthy | Liveness::Unknown => LEADER_LEASE_MS,
         };
@@ -177,8 +177,8 @@
         let Some((row, _)) = &self.row else { return 0 };
         let unchanged_ms = now_ms.saturating_sub(self.changed_ms);
         let has_ended = row.released || row.holder == own_name;
-        let previous_ms = if has_ended { 0 } else { EXTEND_MS + RENEWAL_LAG_MS };
-        previous_ms.max(row.earlier_extends_ms).saturating_sub(unchanged_ms)
+        let holder_extends_ms = if has_ended { 0 } else { EXTEND_MS + RENEWAL_LAG_MS };
+        holder_extends_ms.max(row.earlier_extends_ms).saturating_sub(unchanged_ms)
     }
 
     /// The version that a claim expects the row to have, and the epoch of the claim.
--- a/crates/node/src/executors/call.rs
+++ b/crates/node/src/executors/call.rs
@@ -24,9 +24,9 @@
 pub enum WorkerCall {
     /// Extend the worker's lease and read its lists of runs.
     Hold(HoldCall),
-    /// Start a run.
+    /// Start a run of a task.
     Start(StartCall),
-    /// Stop a run.
+    /// Stop a run of a task.
     Stop(StopCall),
     /// Limit a run to a share of its full speed.
     Pace(PaceCall),
@@ -73,38 +73,38 @@
 /// What the leader keeps of a call until its reply arrives.
 #[derive(Clone, Debug)]
 pub enum PendingCall {
-    /// A hold.
+    /// A pending [`WorkerCall::Hold`].
     Hold {
-        /// The worker.
+        /// Worker that was called.
         worker: WorkerId,
         /// The pool's scheduling cycle in which it was made.
         turn: u64,
     },
-    /// A start.
+    /// A pending [`WorkerCall::Start`].
     Start {
-        /// The worker.
+        /// Worker that was called.
         worker: WorkerId,
-        /// The task.
+        /// Task of the run.
         task: TaskId,
-        /// The run.
+        /// Number of the run, among the task's runs.
         run: u32,
     },
-    /// A stop.
+    /// A pending [`WorkerCall::Stop`].
     Stop {
-        /// The worker.
+        /// Worker that was called.
         worker: WorkerId,
-        /// The task.
+        /// Task of the run.
         task: TaskId,
-        /// The run.
+        /// Number of the run, among the task's runs.
         run: u32,
     },
-    /// A change of pace.
+    /// A pending [`WorkerCall::Pace`].
     Pace {
-        /// The worker.
+        /// Worker that was called.
         worker: WorkerId,
-        /// The task.
+        /// Task of the run.
         task: TaskId,
-        /// The run.
+        /// Number of the run, among the task's runs.
         run: u32,
     },
 }
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The worker.
+    /// The worker to call.
     pub fn worker(&self) -> &WorkerId {
         match self {
             Self::Hold(call) => &call.to.worker,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Calls the worker.
+    /// Makes the call and waits for its outcome.
     pub async fn perform(&self, outside: &impl Outside) -> WorkerReply {
         match self {
             Self::Hold(call) => WorkerReply::Held(outside.hold(call).await),
@@ -157,7 +157,7 @@
 }
 
 impl PendingCall {
-    /// The worker.
+    /// The worker that was called.
     pub fn worker(&self) -> &WorkerId {
         match self {
             Self::Hold { worker, .. }
@@ -274,7 +274,10 @@
     match codec().deserialize(bytes) {
         Ok(value) => Some(value),
         Err(error) => {
-            tracing::warn!(%error, bytes = bytes.len(), "cannot decode a message from another daemon");
+            tracing::warn!(
+                %error, bytes = bytes.len(),
+                "cannot decode a message from another daemon"
+            );
             None
         }
     }
--- a/crates/node/src/executors/link.rs
+++ b/crates/node/src/executors/link.rs
@@ -26,7 +26,7 @@
 use crate::peers::NodeCall;
 use crate::peers::NodeReply;
 
-/// How long an executor waits for replies when the leader collects them.
+/// How long an executor that has no replies waits for one when the leader collects them.
 const COLLECT_WAIT_MS: u64 = 200;
 /// Added to the wait for the round trip between regions and a busy executor.
 const COLLECT_MARGIN: Duration = Duration::from_millis(500);
--- a/crates/node/src/executors/mod.rs
+++ b/crates/node/src/executors/mod.rs
@@ -52,13 +52,13 @@
     state: Arc<Mutex<State>>,
     /// Direct calls and the tasks of links; all are aborted when this is dropped.
     tasks: Mutex<JoinSet<()>>,
-    /// Fires when a link opens or fails.
+    /// Notified when a link opens or fails.
     changed: watch::Sender<()>,
 }
 
 #[derive(Debug)]
 struct State {
-    me: Member,
+    leader: Member,
     members: Vec<Member>,
     workers: BTreeMap<ZoneName, usize>,
     links: BTreeMap<ZoneName, Vec<Arc<Link>>>,
@@ -75,12 +75,12 @@
     pub fn new(
         outside: Arc<O>,
         peers: Peers,
-        me: Member,
+        leader: Member,
         epoch: u64,
         messages: InboxSender,
     ) -> Self {
         let state = State {
-            me,
+            leader,
             members: Vec::new(),
             workers: BTreeMap::new(),
             links: BTreeMap::new(),
@@ -108,7 +108,7 @@
     /// Updates how much time of a period the leader spent on decisions.
     pub fn update_load(&self, deciding_ms: u64, period_ms: u64) {
         let mut state = self.lock();
-        let busy = is_busy(deciding_ms, period_ms, &state.me, state.busy);
+        let busy = is_busy(deciding_ms, period_ms, &state.leader, state.busy);
         if busy != state.busy {
             tracing::info!(
                 busy,
@@ -129,7 +129,7 @@
         if timeout(OPEN_TIMEOUT, all_open).await.is_err() {
             tracing::info!(
                 epoch = self.epoch,
-                "not every zone has an executor yet; calls to those zones are made directly"
+                "some zones have no executor yet; calls to their workers are made directly"
             );
         }
     }
@@ -170,7 +170,7 @@
             return;
         }
         for (zone, workers) in state.workers.clone() {
-            for member in executor_candidates(&zone, &state.members, &state.me) {
+            for member in executor_candidates(&zone, &state.members, &state.leader) {
                 let links = state.links.entry(zone.clone()).or_default();
                 if links.iter().filter(|link| link.is_usable()).count() >= executors_wanted(workers)
                 {
@@ -249,7 +249,7 @@
 impl State {
     /// Whether calls currently go through executors.
     fn uses_executors(&self) -> bool {
-        self.busy || needs_executors(self.workers.values().sum(), &self.me)
+        self.busy || needs_executors(self.workers.values().sum(), &self.leader)
     }
 
     /// The executor for a worker: always the same one while its link is open, so that
--- a/crates/node/src/executors/session.rs
+++ b/crates/node/src/executors/session.rs
@@ -27,7 +27,7 @@
 /// to the first that fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SessionId {
-    /// The leader's epoch.
+    /// Epoch of the leader that opened the session.
     pub epoch: u64,
     /// Rises with each session of the leader, with any executor.
     pub number: u64,
@@ -96,7 +96,7 @@
         tracing::info!(
             epoch = id.epoch,
             number = id.number,
-            "new session: making calls for a leader"
+            "new session: this daemon makes calls for a leader"
         );
         let replied = Notify::new();
         let session = Arc::new(Session { id, replies: Mutex::default(), replied });
--- a/crates/node/src/leader.rs
+++ b/crates/node/src/leader.rs
@@ -64,6 +64,7 @@
 const PAUSE_MAX: Duration = Duration::from_millis(10);
 /// Interval between updates of the gauges.
 const MEASURE_INTERVAL_MS: u64 = 1_000;
+
 /// What the scheduler needs from its daemon.
 #[derive(Debug)]
 pub struct Leader<O> {
@@ -85,7 +86,7 @@
     pub member: Member,
     /// Queries of this daemon's callers and of other daemons.
     pub queries: mpsc::Receiver<Query>,
-    /// Fires when the daemon stops.
+    /// Becomes `true` when the daemon stops.
     pub stop: tokio::sync::watch::Receiver<bool>,
 }
 
@@ -260,13 +261,13 @@
                 progress_by_job.insert(id, value);
             }
         }
-        let (mut count, mut open) = (0, 0);
+        let (mut job_count, mut open) = (0, 0);
         let mut specs: Vec<(JobId, JobSpec)> = jobs.rows.iter().filter_map(read_row).collect();
         // Which jobs are within a customer's weight depends on their order of arrival.
         specs.sort_by_key(|(_, spec)| spec.accepted_unix_ms);
         for (id, spec) in specs {
             let progress = progress_by_job.get(&id);
-            count += 1;
+            job_count += 1;
             open += usize::from(progress.is_none_or(|progress| progress.outcome.is_none()));
             pool.restore(id, Arc::new(spec), progress);
         }
@@ -278,7 +279,7 @@
         let version = workers.version;
         tracing::info!(
             epoch,
-            jobs = count,
+            jobs = job_count,
             open,
             workers = workers.listed.len(),
             "state restored from the store"
@@ -416,7 +417,10 @@
                     pool.handle(steady_ms(), unix_ms(), event);
                 }
                 Err(error) => {
-                    tracing::warn!(%job, %error, "cannot decode the row of a job that a daemon accepted");
+                    tracing::warn!(
+                        %job, %error,
+                        "cannot decode the row of a job that a daemon accepted"
+                    );
                 }
             }
             true
--- a/crates/node/src/leader_view.rs
+++ b/crates/node/src/leader_view.rs
@@ -47,7 +47,7 @@
     Remote(String),
 }
 
-/// The liveness of a leader.
+/// Whether a leader is alive, and whether it reaches the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, displaydoc::Display)]
 pub enum Liveness {
     /// not known
@@ -108,7 +108,10 @@
         if epoch != self.epoch || liveness == self.liveness {
             return false;
         }
-        tracing::info!(epoch, address = self.address, before = %self.liveness, now = %liveness, "liveness of the leader changed");
+        tracing::info!(
+            epoch, address = self.address, before = %self.liveness, now = %liveness,
+            "liveness of the leader changed"
+        );
         self.liveness = liveness;
         true
     }
