--- a/crates/node/src/elector.rs
+++ b/crates/node/src/elector.rs
@@ -7,26 +7,26 @@
 use tokio::sync::mpsc;
 
 use crate::NodeSettings;
-use crate::advisors::Advisors;
+use crate::advisor_dispatcher::AdvisorDispatcher;
 use crate::clock::steady_ms;
 use crate::clock::unix_ms;
-use crate::commit::DUTY_KEY;
-use crate::commit::Held;
+use crate::commit::HeldLease;
+use crate::commit::LEADER_LEASE_KEY;
 use crate::commit::encode;
-use crate::duty::DutyRow;
-use crate::duty::DutyView;
-use crate::duty::Fitness;
-use crate::duty::is_underprovisioned;
+use crate::election::Candidate;
+use crate::election::LeaderLease;
+use crate::election::LeaderLeaseView;
+use crate::election::is_underprovisioned;
 use crate::gateway::Gateway;
 use crate::health::StoreHealth;
-use crate::lead::Lead;
+use crate::leader::Leader;
+use crate::leader_view::Liveness;
 use crate::message::Query;
 use crate::platform::Platform;
 use crate::platform::Row;
 use crate::platform::StoreError;
 use crate::platform::Table;
 use crate::platform::Transaction;
-use crate::scheduler::Liveness;
 
 /// Maximum time that a poll of the lease row waits for a change.
 const LEASE_POLL_WAIT_MS: u64 = 1_000;
@@ -52,7 +52,7 @@
     /// Receives each change of leader.
     pub gateway: Arc<Gateway<P>>,
     /// Passed to the scheduler while this daemon leads.
-    pub advisors: Arc<Advisors<P>>,
+    pub advisors: Arc<AdvisorDispatcher<P>>,
     /// Client for calls to other daemons.
     pub peers: Peers,
     /// Becomes true when the daemon stops.
@@ -71,7 +71,7 @@
             Arc::clone(&self.health),
             self.settings.clone(),
         ));
-        let mut view = DutyView::new(steady_ms());
+        let mut view = LeaderLeaseView::new(steady_ms());
         let mut after = None;
         loop {
             if *stop.borrow() {
@@ -97,7 +97,7 @@
                 }
             };
             self.lead(held).await;
-            view = DutyView::new(steady_ms());
+            view = LeaderLeaseView::new(steady_ms());
             after = None;
         }
         self.withdraw().await;
@@ -112,8 +112,8 @@
         }
     }
 
-    fn fitness(&self) -> Fitness {
-        Fitness {
+    fn fitness(&self) -> Candidate {
+        Candidate {
             name: self.settings.name.clone(),
             cores: self.settings.cores,
             link_mbps: self.settings.link_mbps,
@@ -121,13 +121,13 @@
         }
     }
 
-    fn claim_ms(&self, view: &DutyView) -> u64 {
+    fn claim_ms(&self, view: &LeaderLeaseView) -> u64 {
         view.claim_ms(&self.fitness(), self.gateway.leader_liveness(view.epoch()))
     }
 
     /// Reads the lease row once, waiting for a change as long as no claim is due. `false` if
     /// the row was not read, or the liveness of the leader changed meanwhile.
-    async fn poll_lease(&self, view: &mut DutyView, after: &mut Option<u64>) -> bool {
+    async fn poll_lease(&self, view: &mut LeaderLeaseView, after: &mut Option<u64>) -> bool {
         let liveness = self.gateway.leader_liveness(view.epoch());
         let mut leader = self.gateway.subscribe_leader();
         let epoch = view.epoch();
@@ -142,7 +142,7 @@
         match result {
             Ok(None) => true,
             Ok(Some(row)) => {
-                view.saw(row, steady_ms());
+                view.observe(row, steady_ms());
                 self.publish_leader(view);
                 true
             }
@@ -162,7 +162,7 @@
     /// Delays the next poll of the lease row if enough other daemons would notice the failure
     /// of its holder first. The row changes with each renewal, and polling it makes up most of
     /// the store's load from hundreds of daemons.
-    async fn delay_next_poll(&self, view: &DutyView) {
+    async fn delay_next_poll(&self, view: &LeaderLeaseView) {
         let epoch = view.epoch();
         let is_healthy = |liveness| liveness == Liveness::Healthy;
         if !is_underprovisioned(self.settings.cores)
@@ -182,7 +182,7 @@
     async fn read_lease(
         &self,
         after: &mut Option<u64>,
-    ) -> Result<Option<Option<(DutyRow, u64)>>, StoreError> {
+    ) -> Result<Option<Option<(LeaderLease, u64)>>, StoreError> {
         let rows = self.platform.read_all(Table::Duty).await?;
         *after = Some(rows.version);
         Ok(Some(rows.rows.iter().find_map(parse_lease_row)))
@@ -191,26 +191,30 @@
     async fn poll_lease_changes(
         &self,
         version: u64,
-        view: &DutyView,
+        view: &LeaderLeaseView,
         after: &mut Option<u64>,
-    ) -> Result<Option<Option<(DutyRow, u64)>>, StoreError> {
+    ) -> Result<Option<Option<(LeaderLease, u64)>>, StoreError> {
         let due_ms = self.claim_ms(view).saturating_sub(steady_ms());
         let wait_ms = due_ms.min(LEASE_POLL_WAIT_MS);
         let rows = self.platform.poll_changes(Table::Duty, version, wait_ms).await?;
         *after = Some(rows.version);
-        let newest = rows.rows.iter().rev().find(|row| row.key == DUTY_KEY);
+        let newest = rows.rows.iter().rev().find(|row| row.key == LEADER_LEASE_KEY);
         Ok(newest.map(parse_lease_row))
     }
 
-    fn publish_leader(&self, view: &DutyView) {
+    fn publish_leader(&self, view: &LeaderLeaseView) {
         let Some((row, _)) = &view.row else { return };
         let address = (!row.released).then(|| row.address.clone());
         self.gateway.observe_leader(row.epoch, address);
     }
 
-    async fn claim(&self, view: &DutyView, incarnation: u64) -> Result<Held, StoreError> {
+    async fn claim(
+        &self,
+        view: &LeaderLeaseView,
+        incarnation: u64,
+    ) -> Result<HeldLease, StoreError> {
         let (version, epoch) = view.next_epoch();
-        let row = DutyRow {
+        let row = LeaderLease {
             holder: self.settings.name.clone(),
             incarnation,
             address: self.settings.address.clone(),
@@ -220,8 +224,8 @@
             earlier_extends_ms: view.earlier_extends_ms(&self.settings.name, steady_ms()),
         };
         let transaction = Transaction {
-            expect: vec![(Table::Duty, DUTY_KEY.to_owned(), version)],
-            put: vec![(Table::Duty, DUTY_KEY.to_owned(), encode(&row))],
+            expect: vec![(Table::Duty, LEADER_LEASE_KEY.to_owned(), version)],
+            put: vec![(Table::Duty, LEADER_LEASE_KEY.to_owned(), encode(&row))],
             remove: Vec::new(),
         };
         match self.health.track_write(self.platform.transact(&transaction)).await {
@@ -230,7 +234,7 @@
                 let silent_ms = steady_ms().saturating_sub(view.changed_ms);
                 let earlier_extends_ms = row.earlier_extends_ms;
                 tracing::info!(epoch, before, silent_ms, earlier_extends_ms, "duty taken over");
-                Ok(Held { row, version, won_ms: steady_ms() })
+                Ok(HeldLease { row, version, acquired_ms: steady_ms() })
             }
             Err(error) => {
                 // A claim without response may still succeed; the next poll shows whether it did.
@@ -240,21 +244,21 @@
         }
     }
 
-    async fn lead(&self, held: Held) {
-        let epoch = held.row.epoch;
+    async fn lead(&self, lease: HeldLease) {
+        let epoch = lease.row.epoch;
         let (queries, received_queries) = mpsc::channel(QUERY_QUEUE_MAX);
         self.gateway.observe_leader(epoch, Some(self.settings.address.clone()));
         self.gateway.set_local_leader(Some(queries.clone()));
         self.leading.send_replace(Some(queries));
-        let lead = Lead {
+        let lead = Leader {
             outside: Arc::clone(&self.platform),
-            held,
+            lease,
             limits: self.settings.limits,
             health: Arc::clone(&self.health),
             advisors: Arc::clone(&self.advisors),
             peers: self.peers.clone(),
             gateway: Arc::clone(&self.gateway),
-            me: self.settings.member(),
+            member: self.settings.member(),
             queries: received_queries,
             stop: self.stop.clone(),
         };
@@ -280,8 +284,8 @@
     }
 }
 
-fn parse_lease_row(row: &Row) -> Option<(DutyRow, u64)> {
-    let value = row.value.as_ref().filter(|_| row.key == DUTY_KEY)?;
+fn parse_lease_row(row: &Row) -> Option<(LeaderLease, u64)> {
+    let value = row.value.as_ref().filter(|_| row.key == LEADER_LEASE_KEY)?;
     match serde_json::from_slice(value) {
         Ok(lease) => Some((lease, row.version)),
         Err(error) => {
--- a/crates/node/src/gateway.rs
+++ b/crates/node/src/gateway.rs
@@ -31,6 +31,9 @@
 use crate::executors::call::Batch;
 use crate::executors::session::Executor;
 use crate::health::StoreHealth;
+use crate::leader_view::LeaderView;
+use crate::leader_view::Liveness;
+use crate::leader_view::Route;
 use crate::manifest::CurrentManifest;
 use crate::manifest::Manifest;
 use crate::manifest::RelayedProof;
@@ -40,9 +43,6 @@
 use crate::platform::Platform;
 use crate::platform::StoreError;
 use crate::platform::Table;
-use crate::scheduler::Liveness;
-use crate::scheduler::Route;
-use crate::scheduler::SchedulerView;
 use crate::store_watcher::read_row;
 
 /// Timeout of a call to the leader, after which the store is read instead: several round
@@ -80,7 +80,7 @@
     peers: Peers,
     health: Arc<StoreHealth>,
     manifest: Arc<CurrentManifest>,
-    leader: watch::Sender<SchedulerView>,
+    leader: watch::Sender<LeaderView>,
     executor: Executor<P>,
     /// Number of daemons in the pool, as far as the leader knows, and of those fit to lead.
     member_count: AtomicU32,
@@ -126,13 +126,13 @@
 
     /// Records who holds the leader lease; `None` as the address if it was released.
     pub(crate) fn observe_leader(&self, epoch: u64, address: Option<String>) {
-        self.leader.send_modify(|view| view.saw(epoch, address));
+        self.leader.send_modify(|view| view.observe(epoch, address));
     }
 
     /// Records the query channel of the scheduler on this daemon; `None` if this daemon no
     /// longer leads.
     pub(crate) fn set_local_leader(&self, queries: Option<mpsc::Sender<Query>>) {
-        self.leader.send_modify(|view| view.set_here(queries));
+        self.leader.send_modify(|view| view.set_local(queries));
     }
 
     /// Records the liveness of the leader of an epoch.
@@ -146,7 +146,7 @@
     }
 
     /// Subscribes to changes of what this daemon knows about the leader.
-    pub(crate) fn subscribe_leader(&self) -> watch::Receiver<SchedulerView> {
+    pub(crate) fn subscribe_leader(&self) -> watch::Receiver<LeaderView> {
         self.leader.subscribe()
     }
 
@@ -298,15 +298,15 @@
         let call = NodeCall::Submit { job, row };
         let address = match self.route() {
             Route::None => return LeaderReply::NotSent,
-            Route::Here(_) if !self.is_store_up() => return LeaderReply::NotSent,
-            Route::Here(queries) => {
+            Route::Local(_) if !self.is_store_up() => return LeaderReply::NotSent,
+            Route::Local(queries) => {
                 let reply = timeout_at(deadline, ask_local(&queries, call)).await;
                 return match reply {
                     Ok(Some(NodeReply::Submitted(accepted))) => LeaderReply::Outcome(accepted),
                     Ok(_) | Err(_) => LeaderReply::NoAnswer,
                 };
             }
-            Route::At(address) => address,
+            Route::Remote(address) => address,
         };
         let limit = deadline.saturating_duration_since(Instant::now());
         match self.peers.call::<NodeReply>(&address, &call, limit).await {
@@ -323,7 +323,7 @@
     /// daemon has to write the submission itself.
     async fn wait_until_leader_fails(&self) {
         let mut view = self.leader.subscribe();
-        let unavailable = view.wait_for(SchedulerView::is_unfit);
+        let unavailable = view.wait_for(LeaderView::is_unavailable);
         tokio::select! {
             _ = unavailable => {}
             () = tokio::time::sleep(LEADER_SUBMIT_TIMEOUT) => {}
@@ -356,7 +356,7 @@
     async fn cancel_for_peer(&self, job: JobId, limit_ms: u64) -> Accepted {
         let deadline = Instant::now() + Duration::from_millis(limit_ms);
         let accepted = self.acceptor.accept(WriteRequest::Cancel(job), deadline).await;
-        if let (Accepted::Yes, Route::Here(queries)) = (accepted, self.route())
+        if let (Accepted::Yes, Route::Local(queries)) = (accepted, self.route())
             && ask_local(&queries, NodeCall::Cancelled(job)).await.is_none()
         {
             tracing::debug!(
@@ -368,8 +368,8 @@
 
     fn remote_leader(&self) -> Option<String> {
         match self.route() {
-            Route::At(address) => Some(address),
-            Route::Here(_) | Route::None => None,
+            Route::Remote(address) => Some(address),
+            Route::Local(_) | Route::None => None,
         }
     }
 
@@ -437,8 +437,8 @@
     async fn ask_leader(&self, call: NodeCall) -> Option<NodeReply> {
         match self.route() {
             Route::None => None,
-            Route::Here(queries) => ask_local(&queries, call).await,
-            Route::At(address) => {
+            Route::Local(queries) => ask_local(&queries, call).await,
+            Route::Remote(address) => {
                 match self.peers.call::<NodeReply>(&address, &call, LEADER_TIMEOUT).await {
                     Ok(NodeReply::NotScheduler) => None,
                     Ok(reply) => Some(reply),
@@ -486,7 +486,7 @@
                 proof: self.manifest.relayed_proof(steady_ms()),
             };
         }
-        let Route::Here(queries) = self.route() else { return NodeReply::NotScheduler };
+        let Route::Local(queries) = self.route() else { return NodeReply::NotScheduler };
         if call == NodeCall::Alive {
             let daemons = self.member_count.load(Ordering::Relaxed);
             let fit = self.candidate_count.load(Ordering::Relaxed);
--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 
 use crate::clock::steady_ms;
-use crate::commit::DUTY_KEY;
+use crate::commit::LEADER_LEASE_KEY;
 use crate::platform::Platform;
 use crate::platform::StoreError;
 use crate::platform::Table;
@@ -204,7 +204,8 @@
         let platform = Arc::clone(&platform);
         let health = Arc::clone(&health);
         probes.spawn(async move {
-            let answered = timeout(PROBE_TIMEOUT, platform.read(Table::Duty, DUTY_KEY)).await;
+            let answered =
+                timeout(PROBE_TIMEOUT, platform.read(Table::Duty, LEADER_LEASE_KEY)).await;
             if let Ok(Ok(_)) = answered {
                 health.record_response();
             }
--- a/crates/node/src/store_watcher.rs
+++ b/crates/node/src/store_watcher.rs
@@ -10,13 +10,13 @@
 use stoatwell_pool::JobId;
 use stoatwell_pool::JobSpec;
 
-use crate::advisors::Advisors;
+use crate::advisor_dispatcher::AdvisorDispatcher;
 use crate::clock::steady_ms;
-use crate::duty::is_underprovisioned;
+use crate::election::is_underprovisioned;
 use crate::executors::Executors;
 use crate::gateway::Gateway;
 use crate::health::StoreHealth;
-use crate::inbox::Senders;
+use crate::inbox::InboxSender;
 use crate::members::read_members;
 use crate::peers::NodeCall;
 use crate::platform::Platform;
@@ -51,7 +51,7 @@
     /// Health of the store.
     pub health: Arc<StoreHealth>,
     /// The leader's inbox, which receives the changes.
-    pub messages: Senders,
+    pub messages: InboxSender,
 }
 
 impl<P: Platform> StoreWatcher<P> {
@@ -185,7 +185,7 @@
     /// learn of the leader otherwise, and could not serve its callers.
     pub async fn track_members(
         self: Arc<Self>,
-        advisors: Arc<Advisors<P>>,
+        advisors: Arc<AdvisorDispatcher<P>>,
         executors: Arc<Executors<P>>,
         gateway: Arc<Gateway<P>>,
         leader_notice: NodeCall,
--- a/crates/node/tests/advisors.rs
+++ b/crates/node/tests/advisors.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stoatwell_node::Advisors;
+use stoatwell_node::AdvisorDispatcher;
 use stoatwell_peer::Peers;
 use stoatwell_peer::Traffic;
 use stoatwell_pool::JobId;
@@ -24,16 +24,16 @@
 async fn questions_of_a_duty_that_ended_hold_nothing_up() {
     let outside = Arc::new(Fake::default());
     let peers = Peers::new("test", Traffic::default());
-    let advisors = Arc::new(Advisors::new(Arc::clone(&outside), peers, "me".to_owned()));
+    let advisors = Arc::new(AdvisorDispatcher::new(Arc::clone(&outside), peers, "me".to_owned()));
     outside.hang_advice(true);
     for _ in 0..4 {
         let asking = Arc::clone(&advisors);
-        let asked = tokio::spawn(async move { asking.ask(STEP, &[], 1, LONG_MS).await });
+        let asked = tokio::spawn(async move { asking.query(STEP, &[], 1, LONG_MS).await });
         tokio::time::sleep(Duration::from_millis(20)).await;
         asked.abort();
     }
     outside.hang_advice(false);
-    let answer = advisors.ask(STEP, &[], 1, LONG_MS);
+    let answer = advisors.query(STEP, &[], 1, LONG_MS);
     let answer = tokio::time::timeout(Duration::from_millis(500), answer).await;
     assert_eq!(answer, Ok(Some(Vec::new())));
 }
