--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -1,8 +1,9 @@
-//! The calling side, with one connection to each daemon.
+//! The client, which keeps one connection to each daemon.
 //!
-//! A connection can go silent for good while new ones work. Every call has a
-//! deadline; after one that passed, the connection is used for no new call and
-//! the next call dials anew. Calls under way on it may still get their answer.
+//! A connection can stop responding forever while new connections to the same daemon work.
+//! Every call has a deadline. After a call missed it, the connection is used for no further
+//! calls, and the next call opens a new one. Calls in progress on the old connection may still
+//! be answered.
 
 use std::collections::HashMap;
 use std::io;
@@ -28,10 +29,10 @@
 use crate::traffic::Traffic;
 
 const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
-/// After a failed dial the next one waits this long.
-const DIAL_PAUSE: Duration = Duration::from_millis(200);
+/// After a failed attempt to connect to a daemon, calls to it fail at once for this long.
+const DIAL_BACKOFF: Duration = Duration::from_millis(200);
 
-/// A call that brought no answer.
+/// Why a call has no answer.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum PeerError {
     /// no connection was made, so nothing was sent: {0}
@@ -42,7 +43,7 @@
 
 impl std::error::Error for PeerError {}
 
-/// Connections to other daemons.
+/// Connections to other daemons, by address.
 #[derive(Clone, Debug)]
 pub struct Peers {
     key: Arc<str>,
@@ -59,34 +60,35 @@
 struct Connection {
     client: Option<PeerServiceClient>,
     generation: u64,
-    failed: Option<Instant>,
+    last_failed_dial: Option<Instant>,
 }
 
 impl Peers {
-    /// No connections yet.
+    /// Creates a client without connections. `key` is the shared key of the handshake.
     pub fn new(key: &str, traffic: Traffic) -> Self {
         Self { key: Arc::from(key), traffic, slots: Arc::default() }
     }
 
-    /// Calls the daemon at this IP and port.
+    /// Calls the daemon at this IP address and port. `time_limit` is the limit for opening a
+    /// connection, and again for the answer.
     pub async fn call<R: DeserializeOwned>(
         &self,
         address: &str,
         call: &impl Serialize,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<R, PeerError> {
-        let call =
+        let encoded =
             bincode::serialize(call).map_err(|error| PeerError::NotSent(error.to_string()))?;
         let slot = self.slot(address);
-        let connected = timeout(limit, self.connect(address, &slot)).await;
+        let connected = timeout(time_limit, self.connect(address, &slot)).await;
         let (client, generation) = match connected {
             Ok(Ok(connected)) => connected,
             Ok(Err(error)) => return Err(PeerError::NotSent(error.to_string())),
             Err(elapsed) => return Err(PeerError::NotSent(elapsed.to_string())),
         };
         let mut context = context::current();
-        context.deadline = Instant::now() + limit;
-        match client.call(context, call).await {
+        context.deadline = Instant::now() + time_limit;
+        match client.call(context, encoded).await {
             Ok(reply) => {
                 bincode::deserialize(&reply).map_err(|error| PeerError::NoAnswer(error.to_string()))
             }
@@ -95,7 +97,7 @@
                 if connection.generation == generation {
                     connection.client = None;
                 }
-                Err(classify(&error))
+                Err(no_answer(&error))
             }
         }
     }
@@ -110,42 +112,43 @@
         if let Some(client) = &connection.client {
             return Ok((client.clone(), connection.generation));
         }
-        if connection.failed.is_some_and(|at| at.elapsed() < DIAL_PAUSE) {
+        if connection.last_failed_dial.is_some_and(|failed| failed.elapsed() < DIAL_BACKOFF) {
             return Err(io::Error::new(
                 io::ErrorKind::NotConnected,
-                "the last dial failed just now",
+                "an attempt to connect failed a moment ago",
             ));
         }
         match self.dial(address).await {
             Ok(client) => {
                 connection.generation += 1;
-                connection.failed = None;
+                connection.last_failed_dial = None;
                 connection.client = Some(client.clone());
                 Ok((client, connection.generation))
             }
             Err(error) => {
-                connection.failed = Some(Instant::now());
+                connection.last_failed_dial = Some(Instant::now());
                 Err(error)
             }
         }
     }
 
     async fn dial(&self, address: &str) -> io::Result<PeerServiceClient> {
-        let dialled = timeout(DIAL_TIMEOUT, async {
+        let connecting = timeout(DIAL_TIMEOUT, async {
             let stream = TcpStream::connect(address).await?;
             stream.set_nodelay(true)?;
             let mut stream = self.traffic.count(stream);
-            handshake::call(&mut stream, &self.key).await?;
+            handshake::connect(&mut stream, &self.key).await?;
             io::Result::Ok(stream)
         });
-        let stream =
-            dialled.await.map_err(|elapsed| io::Error::new(io::ErrorKind::TimedOut, elapsed))??;
+        let stream = connecting
+            .await
+            .map_err(|elapsed| io::Error::new(io::ErrorKind::TimedOut, elapsed))??;
         let framed = codec().new_framed(stream);
         let transport = serde_transport::new(framed, Bincode::default());
         Ok(PeerServiceClient::new(Config::default(), transport).spawn())
     }
 }
 
-fn classify(error: &RpcError) -> PeerError {
+fn no_answer(error: &RpcError) -> PeerError {
     PeerError::NoAnswer(error.to_string())
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,9 +1,9 @@
-//! Calls between daemons.
+//! RPC between daemons.
 //!
-//! One `tarpc` method carries every call, so that only those who decide know
-//! what they mean. Before the first call both sides prove that they know
-//! the cell's key ([`handshake`]); a stranger's connection is closed. Frames
-//! are length-delimited `bincode`.
+//! One `tarpc` method carries every call as opaque bytes, so that only the crates which define
+//! the calls depend on their meaning. Before the first call both sides prove that they know the
+//! shared key ([`handshake`]); the connection of a peer that does not is closed. Frames are
+//! length-delimited `bincode`.
 
 pub mod client;
 pub mod handshake;
@@ -18,14 +18,14 @@
 pub use traffic::Traffic;
 pub use traffic::TrafficCounts;
 
-/// Largest frame between daemons.
+/// Maximum length of a frame.
 const FRAME_BYTES_MAX: usize = 16 * 1024 * 1024;
 
 mod service {
-    /// The one service between daemons.
+    /// The only RPC service of a daemon.
     #[tarpc::service]
     pub trait PeerService {
-        /// Carries any call and its answer, encoded by the caller's crate.
+        /// Carries a call and its answer, both encoded as `bincode`.
         async fn call(call: Vec<u8>) -> Vec<u8>;
     }
 }
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -1,4 +1,4 @@
-//! The listening side.
+//! The server, which accepts connections of other daemons.
 
 use std::io;
 use std::marker::PhantomData;
@@ -21,10 +21,10 @@
 use crate::service::PeerService;
 use crate::traffic::Traffic;
 
-/// A connection that says nothing for this long is a stranger's.
+/// A connection that has not completed the handshake after this time is closed.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Answers calls until the task is ended.
+/// Accepts connections and answers their calls. Returns only if the listener fails.
 pub async fn serve<C, R, F, A>(
     listener: TcpListener,
     key: String,
@@ -43,14 +43,14 @@
         let traffic = traffic.clone();
         let handler = handler.clone();
         tokio::spawn(async move {
-            if let Err(error) = serve_one(stream, &key, &traffic, handler).await {
-                tracing::warn!(%from, %error, "a peer's connection was refused");
+            if let Err(error) = serve_connection(stream, &key, &traffic, handler).await {
+                tracing::warn!(%from, %error, "connection of a peer rejected");
             }
         });
     }
 }
 
-async fn serve_one<C, R, F, A>(
+async fn serve_connection<C, R, F, A>(
     stream: TcpStream,
     key: &str,
     traffic: &Traffic,
@@ -64,7 +64,7 @@
 {
     stream.set_nodelay(true)?;
     let mut stream = traffic.count(stream);
-    timeout(HANDSHAKE_TIMEOUT, handshake::listen(&mut stream, key))
+    timeout(HANDSHAKE_TIMEOUT, handshake::accept(&mut stream, key))
         .await
         .map_err(|elapsed| io::Error::new(io::ErrorKind::TimedOut, elapsed))??;
     let framed = codec().new_framed(stream);
@@ -97,18 +97,19 @@
     F: Fn(C) -> A + Clone + Send + Sync + 'static,
     A: Future<Output = R> + Send + 'static,
 {
-    /// Answers with nothing to what cannot be read; the caller takes that for no answer.
+    /// Returns an empty reply if the call cannot be decoded or its answer cannot be encoded; the
+    /// client treats that as no answer.
     async fn call(self, _context: Context, call: Vec<u8>) -> Vec<u8> {
         let call = match bincode::deserialize(&call) {
             Ok(call) => call,
             Err(error) => {
-                tracing::warn!(%error, "a peer's call cannot be read");
+                tracing::warn!(%error, "cannot decode a peer's call; sending an empty reply");
                 return Vec::new();
             }
         };
         let reply = (self.answer)(call).await;
         bincode::serialize(&reply).unwrap_or_else(|error| {
-            tracing::error!(%error, "an answer to a peer cannot be written");
+            tracing::error!(%error, "cannot encode the answer to a peer; sending an empty reply");
             Vec::new()
         })
     }
--- a/crates/peer/src/traffic.rs
+++ b/crates/peer/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes that cross connections between daemons.
+//! Counts the bytes sent and received on connections between daemons.
 
 use std::io;
 use std::pin::Pin;
@@ -12,7 +12,7 @@
 use tokio::io::AsyncWrite;
 use tokio::io::ReadBuf;
 
-/// Shared counters of one daemon's connections to others.
+/// Counters of the traffic of one daemon with others. Clones share the counters.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
     counters: Arc<Counters>,
@@ -24,17 +24,17 @@
     received_bytes: AtomicU64,
 }
 
-/// Bytes so far.
+/// Numbers of bytes since the counters were created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrafficCounts {
-    /// Sent to other daemons.
+    /// Bytes sent to other daemons.
     pub sent_bytes: u64,
-    /// Received from other daemons.
+    /// Bytes received from other daemons.
     pub received_bytes: u64,
 }
 
 impl Traffic {
-    /// Bytes so far.
+    /// The current values of the counters.
     pub fn counts(&self) -> TrafficCounts {
         TrafficCounts {
             sent_bytes: self.counters.sent_bytes.load(Ordering::Relaxed),
@@ -42,19 +42,19 @@
         }
     }
 
-    pub(crate) fn count<S>(&self, stream: S) -> Counted<S> {
-        Counted { stream, counters: Arc::clone(&self.counters) }
+    pub(crate) fn count<S>(&self, stream: S) -> CountingStream<S> {
+        CountingStream { stream, counters: Arc::clone(&self.counters) }
     }
 }
 
-/// A stream whose bytes are counted.
+/// A stream that counts the bytes read from it and written to it.
 #[derive(Debug)]
-pub(crate) struct Counted<S> {
+pub(crate) struct CountingStream<S> {
     stream: S,
     counters: Arc<Counters>,
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Counted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountingStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -68,7 +68,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountingStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/peer/tests/connections.rs
+++ b/crates/peer/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Strangers, and connections that went silent.
+//! Connections of unauthorized peers, and connections that stop responding.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -16,9 +16,9 @@
 use tokio::net::TcpStream;
 
 const KEY: &str = "a key of sixteen bytes";
-const LONG: Duration = Duration::from_secs(10);
+const TIME_LIMIT: Duration = Duration::from_secs(10);
 
-async fn listen() -> String {
+async fn start_server() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     let handler = |_call: PeerCall| async { PeerReply::Noted };
@@ -26,67 +26,71 @@
     address
 }
 
-fn hint() -> PeerCall {
+fn sample_call() -> PeerCall {
     PeerCall::Changed { revision: 1 }
 }
 
-/// Somebody reaches the port of the daemons. Without the key they could start
-/// and stop work.
+/// Guards against a daemon that answers peers without the key, who could then start and stop
+/// work.
 #[tokio::test]
-async fn stranger_without_the_key_is_refused() {
-    let address = listen().await;
-    let friend = Peers::new(KEY, Traffic::default());
-    assert_eq!(friend.call(&address, &hint(), LONG).await, Ok(PeerReply::Noted));
-    let stranger = Peers::new("another key of sixteen", Traffic::default());
-    let refused = stranger.call::<PeerReply>(&address, &hint(), LONG).await;
-    assert!(matches!(refused, Err(PeerError::NotSent(_))), "{refused:?}");
+async fn peer_without_the_key_is_rejected() {
+    let address = start_server().await;
+    let authorized = Peers::new(KEY, Traffic::default());
+    assert_eq!(authorized.call(&address, &sample_call(), TIME_LIMIT).await, Ok(PeerReply::Noted));
+    let unauthorized = Peers::new("another key of sixteen", Traffic::default());
+    let rejected = unauthorized.call::<PeerReply>(&address, &sample_call(), TIME_LIMIT).await;
+    assert!(matches!(rejected, Err(PeerError::NotSent(_))), "{rejected:?}");
 }
 
-/// Bytes of another protocol arrive at the port, as from a port scan.
+/// Guards against a server that keeps a connection open, or sends more than its challenge, when
+/// it receives bytes of another protocol, such as from a port scan.
 #[tokio::test]
-async fn other_protocols_are_closed() {
-    let address = listen().await;
+async fn connection_of_another_protocol_is_closed() {
+    let address = start_server().await;
     let mut stream = TcpStream::connect(&address).await.expect("it listens");
     stream.write_all(&[b'x'; 200]).await.expect("it takes bytes");
-    let mut rest = Vec::new();
-    // The challenge comes, and then the end or a reset.
-    let ended = stream.read_to_end(&mut rest).await;
-    assert!(ended.is_err() || rest.len() <= 16, "{} bytes", rest.len());
+    let mut received = Vec::new();
+    // The server sends its challenge of 16 bytes, then closes or resets the connection.
+    let result = stream.read_to_end(&mut received).await;
+    assert!(result.is_err() || received.len() <= 16, "{} bytes", received.len());
 }
 
-/// Something between two daemons forgets a connection: it stays open and says
-/// nothing. The next call must go over a new one, or the peer would look dead.
+/// Guards against a client that keeps using a connection which stays open but no longer
+/// responds, because a middlebox lost its state. The peer would then appear to have failed.
 #[tokio::test]
-async fn call_after_a_silent_one_dials_anew() {
-    let target = listen().await;
+async fn call_after_a_timeout_uses_a_new_connection() {
+    let server_address = start_server().await;
     let proxy = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = proxy.local_addr().expect("an address").to_string();
     let connections = Arc::new(AtomicUsize::new(0));
-    let counted = Arc::clone(&connections);
+    let accepted = Arc::clone(&connections);
     tokio::spawn(async move {
-        while let Ok((mut near, _)) = proxy.accept().await {
-            let number = counted.fetch_add(1, Ordering::SeqCst);
-            let target = target.clone();
+        while let Ok((mut client_stream, _)) = proxy.accept().await {
+            let index = accepted.fetch_add(1, Ordering::SeqCst);
+            let server_address = server_address.clone();
             tokio::spawn(async move {
-                let mut far = TcpStream::connect(target).await.expect("it listens");
-                if number > 0 {
-                    drop(tokio::io::copy_bidirectional(&mut near, &mut far).await);
+                let mut server_stream =
+                    TcpStream::connect(server_address).await.expect("it listens");
+                if index > 0 {
+                    drop(
+                        tokio::io::copy_bidirectional(&mut client_stream, &mut server_stream).await,
+                    );
                     return;
                 }
-                // The first connection carries the handshake and one call, then nothing.
-                let mut forwarded = 0;
-                let mut up = [0; 1_024];
-                let mut down = [0; 1_024];
-                while forwarded < 2 {
+                // The first connection forwards the handshake, then nothing in either direction.
+                let mut responses = 0;
+                let mut client_buffer = [0; 1_024];
+                let mut server_buffer = [0; 1_024];
+                while responses < 2 {
                     tokio::select! {
-                        read = near.read(&mut up) => {
+                        read = client_stream.read(&mut client_buffer) => {
                             let count = read.unwrap_or(0);
-                            far.write_all(&up[..count]).await.expect("it takes bytes");
+                            server_stream.write_all(&client_buffer[..count]).await.expect("it takes bytes");
                         }
-                        read = far.read(&mut down) => {
+                        read = server_stream.read(&mut server_buffer) => {
                             let count = read.unwrap_or(0);
-                            near.write_all(&down[..count]).await.expect("it takes bytes");
-                            forwarded += 1;
+                            client_stream.write_all(&server_buffer[..count]).await.expect("it takes bytes");
+                            responses += 1;
                         }
                     }
                 }
@@ -95,20 +99,21 @@
         }
     });
     let peers = Peers::new(KEY, Traffic::default());
-    let silent = peers.call::<PeerReply>(&address, &hint(), Duration::from_millis(300)).await;
-    assert!(matches!(silent, Err(PeerError::NoAnswer(_))), "{silent:?}");
-    assert_eq!(peers.call(&address, &hint(), LONG).await, Ok(PeerReply::Noted));
+    let unanswered =
+        peers.call::<PeerReply>(&address, &sample_call(), Duration::from_millis(300)).await;
+    assert!(matches!(unanswered, Err(PeerError::NoAnswer(_))), "{unanswered:?}");
+    assert_eq!(peers.call(&address, &sample_call(), TIME_LIMIT).await, Ok(PeerReply::Noted));
     assert_eq!(connections.load(Ordering::SeqCst), 2);
 }
 
-/// The peer's process is gone and the port refuses. Nothing was sent, which
-/// the caller must know to try elsewhere.
+/// Guards against an ambiguous error if the peer's process is gone and its port refuses
+/// connections. The caller has to know that nothing was sent, so that it can try another peer.
 #[tokio::test]
-async fn refused_connection_is_known_as_not_sent() {
+async fn refused_connection_is_reported_as_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     drop(listener);
     let peers = Peers::new(KEY, Traffic::default());
-    let result = peers.call::<PeerReply>(&address, &hint(), LONG).await;
+    let result = peers.call::<PeerReply>(&address, &sample_call(), TIME_LIMIT).await;
     assert!(matches!(result, Err(PeerError::NotSent(_))), "{result:?}");
 }
