--- a/crates/engine/src/adopt.rs
+++ b/crates/engine/src/adopt.rs
@@ -19,9 +19,9 @@
 use stoatwell_platform::CallError;
 
 use crate::Engine;
+use crate::message::Observation;
 use crate::message::PeerCall;
 use crate::message::PeerReply;
-use crate::message::Seen;
 use crate::message::TaskReply;
 use crate::ops::PeerOp;
 use crate::sweep::attempts_of;
@@ -38,7 +38,7 @@
         let now_ms = self.now_ms;
         let mut due = Vec::new();
         for (id, job) in &self.jobs {
-            if job.accepted && !job.leaving && job.inquire_ms <= now_ms {
+            if job.accepted && !job.handing_over && job.inquire_not_before_ms <= now_ms {
                 due.push(*id);
             }
         }
@@ -70,11 +70,11 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.find_ms.is_some() || job.finding > 0 {
+        if job.discovery_due_ms.is_some() || job.pending_discoveries > 0 {
             return;
         }
         let doubtful = job.machine.in_doubt();
-        job.inquire_ms = now_ms + if doubtful.is_empty() { CHECK_MS } else { DOUBT_MS };
+        job.inquire_not_before_ms = now_ms + if doubtful.is_empty() { CHECK_MS } else { DOUBT_MS };
         let mut attempts = doubtful;
         attempts.extend(job.machine.active());
         let mut tokens = BTreeMap::new();
@@ -86,7 +86,7 @@
             if let Some(seen) = self.seen_here(attempt, &worker, token) {
                 self.on_seen(attempt, &worker, seen);
             } else if self.is_gone(&worker) {
-                self.on_seen(attempt, &worker, Seen::Forgotten);
+                self.on_seen(attempt, &worker, Observation::Forgotten);
             } else {
                 questions.push((attempt, worker, token));
             }
@@ -94,24 +94,29 @@
     }
 
     /// What this daemon, as the holder of a worker, can tell of an attempt.
-    fn seen_here(&mut self, attempt: AttemptId, worker: &WorkerId, token: Token) -> Option<Seen> {
+    fn seen_here(
+        &mut self,
+        attempt: AttemptId,
+        worker: &WorkerId,
+        token: Token,
+    ) -> Option<Observation> {
         self.holdings.token(self.now_ms, worker)?;
         let held = self.held.get_mut(worker)?;
         if let Some(known) = held.tasks.get(&attempt) {
-            return Some(Seen::State(known.state.clone()));
+            return Some(Observation::State(known.state.clone()));
         }
         if held.knows(attempt) {
-            return Some(Seen::Pending);
+            return Some(Observation::Pending);
         }
         // A worker whose token is lower than the intent's was started anew and
         // remembers nothing; that it does not name the attempt proves nothing.
         if held.token < token {
-            return Some(Seen::Forgotten);
+            return Some(Observation::Forgotten);
         }
         // Without its room and its promise it cannot be started any more.
         self.remote.withdraw_promise(attempt);
         self.not_started(attempt);
-        Some(Seen::Absent)
+        Some(Observation::Absent)
     }
 
     pub(crate) fn on_inquiry(
@@ -150,15 +155,15 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.find_ms.is_none_or(|at_ms| at_ms > now_ms) {
+        if job.discovery_due_ms.is_none_or(|at_ms| at_ms > now_ms) {
             return;
         }
-        job.find_ms = None;
+        job.discovery_due_ms = None;
         let coordinator = self.me.daemon.clone();
         let own = self.found_here(&coordinator, id);
         let peers = self.zone_peers();
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.finding = peers.len() as u32 + 1;
+            job.pending_discoveries = peers.len() as u32 + 1;
         }
         for peer in &peers {
             let call = PeerCall::Find { coordinator: coordinator.clone(), jobs: vec![id] };
@@ -175,7 +180,7 @@
         for (worker, held) in &mut self.held {
             for (attempt, known) in held.tasks.range_mut(attempts_of(id)) {
                 known.coordinator = coordinator.clone();
-                let seen = Seen::State(known.state.clone());
+                let seen = Observation::State(known.state.clone());
                 found.push(TaskReply { attempt: *attempt, worker: worker.clone(), seen });
             }
         }
@@ -204,11 +209,11 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.finding == 0 {
+        if job.pending_discoveries == 0 {
             return;
         }
-        job.finding -= 1;
-        if job.finding > 0 {
+        job.pending_discoveries -= 1;
+        if job.pending_discoveries > 0 {
             return;
         }
         let waiting = job.machine.waiting();
@@ -259,7 +264,7 @@
     pub(crate) fn note_gone(&mut self, whole: bool) {
         let now_ms = self.now_ms;
         let listed = &self.worker_zones;
-        self.gone.retain(|worker, _| !listed.contains_key(worker));
+        self.missing_since.retain(|worker, _| !listed.contains_key(worker));
         let mut missing = Vec::new();
         for (worker, _) in self.holdings.all() {
             if !listed.contains_key(worker) {
@@ -271,7 +276,7 @@
             missing.extend(workers.into_iter().filter(|worker| !listed.contains_key(worker)));
         }
         for worker in missing {
-            self.gone.entry(worker).or_insert(now_ms);
+            self.missing_since.entry(worker).or_insert(now_ms);
         }
     }
 
@@ -280,7 +285,7 @@
     pub(crate) fn is_gone(&self, worker: &WorkerId) -> bool {
         let leases = &self.settings.leases;
         let wait_ms: UnixMs = leases.ttl_ms + leases.orphan_ms + GONE_MARGIN_MS;
-        self.gone.get(worker).is_some_and(|since_ms| self.now_ms >= since_ms + wait_ms)
+        self.missing_since.get(worker).is_some_and(|since_ms| self.now_ms >= since_ms + wait_ms)
     }
 
     pub(crate) fn on_remote_stop(
--- a/crates/engine/src/catalogue.rs
+++ b/crates/engine/src/catalogue.rs
@@ -32,7 +32,7 @@
 
 impl Engine {
     pub(crate) fn poll_catalogue(&mut self) {
-        if let Some(call) = self.follow.due(self.now_ms) {
+        if let Some(call) = self.follower.due(self.now_ms) {
             self.call_store(StoreOp::Follow, call);
         }
     }
@@ -43,11 +43,11 @@
             Ok(_) | Err(_) => None,
         };
         let before = self.catalogue.revision();
-        if let Some(call) = self.follow.on_rows(self.now_ms, &mut self.catalogue, rows) {
+        if let Some(call) = self.follower.on_rows(self.now_ms, &mut self.catalogue, rows) {
             self.call_store(StoreOp::Follow, call);
         }
         if self.catalogue.revision() > before {
-            self.tell_zone_of_change();
+            self.announce_revision();
         }
     }
 
@@ -82,9 +82,9 @@
             // Accepted means in force here at once where nothing lies between;
             // otherwise the missing changes are fetched without delay.
             if !self.catalogue.apply(change.clone()) {
-                self.follow.hurry();
+                self.follower.hurry();
             }
-            self.tell_zone_of_change();
+            self.announce_revision();
         }
         if let Some(ticket) = ticket {
             self.effects.push(Effect::Answer { ticket, answer: Answer::Edited(result) });
@@ -92,7 +92,7 @@
     }
 
     /// Lets peers fetch a change at once instead of at their next poll.
-    pub(crate) fn tell_zone_of_change(&mut self) {
+    pub(crate) fn announce_revision(&mut self) {
         let revision = self.catalogue.revision();
         let mut behind = Vec::new();
         for member in self.members.live(self.now_ms) {
@@ -101,7 +101,7 @@
             }
         }
         for daemon in behind {
-            self.call_peer(PeerOp::Notice, &daemon, PeerCall::Changed { revision });
+            self.call_peer(PeerOp::Notification, &daemon, PeerCall::Changed { revision });
         }
     }
 
@@ -115,7 +115,7 @@
         for worker in &workers {
             self.apply_target(worker);
         }
-        self.shares_due = true;
+        self.quota_shares_due = true;
         self.schedule_due = true;
     }
 
@@ -135,10 +135,10 @@
     /// all its workers, and its entries that part of their running tasks, so that
     /// the parts never add up to more than the whole.
     pub(crate) fn apply_shares(&mut self) {
-        if !self.shares_due {
+        if !self.quota_shares_due {
             return;
         }
-        self.shares_due = false;
+        self.quota_shares_due = false;
         // Serving targets of each owner by rank, and the ranks that are held here.
         let mut all: HashMap<&OwnerName, u64> = HashMap::new();
         let mut here: HashMap<&OwnerName, Vec<u64>> = HashMap::new();
@@ -222,8 +222,8 @@
         }
     }
 
-    pub(crate) fn on_store_question(&mut self, ticket: Ticket, call: StoreCall) {
-        self.call_store(StoreOp::Question(ticket), call);
+    pub(crate) fn on_store_query(&mut self, ticket: Ticket, call: StoreCall) {
+        self.call_store(StoreOp::Query(ticket), call);
     }
 
     /// Whether some target that serves this owner, in any zone, could hold this much.
--- a/crates/engine/src/commit.rs
+++ b/crates/engine/src/commit.rs
@@ -68,11 +68,11 @@
         };
         let first = !job.accepted;
         job.accepted = true;
-        if job.leaving {
+        if job.handing_over {
             self.left(id);
             return;
         }
-        let taken_over = job.find_ms.is_some();
+        let taken_over = job.discovery_due_ms.is_some();
         self.drive(id, |machine, now_ms| machine.on_written(now_ms, version));
         if first {
             self.on_accepted(id, taken_over);
@@ -83,11 +83,11 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let accepting = std::mem::take(&mut job.accepting);
+        let acceptance_waiters = std::mem::take(&mut job.acceptance_waiters);
         let waiting = job.machine.waiting();
         let is_request = job.machine.record.class == Class::Request;
-        for (ticket, wait_ms) in accepting {
-            self.wait_for(id, ticket, wait_ms);
+        for (ticket, wait_ms) in acceptance_waiters {
+            self.wait_for_outcome(id, ticket, wait_ms);
         }
         // What was taken over looks for its running tasks first.
         if !taken_over && !is_request && !waiting.is_empty() {
@@ -108,21 +108,21 @@
         let same = record
             .as_ref()
             .is_some_and(|found| found.content_hash == job.machine.record.content_hash);
-        for (ticket, wait_ms) in std::mem::take(&mut job.accepting) {
+        for (ticket, wait_ms) in std::mem::take(&mut job.acceptance_waiters) {
             match &record {
                 Some(_) if !same => self.answer_job(ticket, Err(Failure::new(Code::KeyReused))),
                 Some(found) => self.answer_from_record(ticket, found.clone(), wait_ms),
                 None => self.answer_job(ticket, Err(Failure::new(Code::Internal))),
             }
         }
-        for (ticket, until_ms) in job.waiters {
+        for (ticket, until_ms) in job.outcome_waiters {
             let wait_ms = until_ms.saturating_sub(self.now_ms);
             self.look_up(Lookup::Status { ticket, caller: Caller::Operator, job: id, wait_ms });
         }
     }
 
     /// Another daemon runs the job by now; this one had not noticed.
-    pub(crate) fn lose_job(&mut self, id: JobId, row: &str) {
+    pub(crate) fn abandon_job(&mut self, id: JobId, row: &str) {
         self.on_conflict(id, row);
     }
 
@@ -138,7 +138,7 @@
             return;
         };
         self.drop_request_of(&job);
-        for (ticket, _) in job.accepting {
+        for (ticket, _) in job.acceptance_waiters {
             self.answer_job(ticket, Err(Failure::new(Code::StoreUnavailable).retry_after(1_000)));
         }
     }
--- a/crates/engine/src/dump.rs
+++ b/crates/engine/src/dump.rs
@@ -180,7 +180,7 @@
             stopping: self.stopping,
             catalogue: CatalogueDump {
                 revision: self.catalogue.revision(),
-                age_ms: self.now_ms.saturating_sub(self.follow.confirmed_ms()),
+                age_ms: self.now_ms.saturating_sub(self.follower.confirmed_ms()),
             },
             workers: self.dump_workers(),
             queues,
@@ -197,7 +197,7 @@
                 refusing: self.refuses_records(),
                 backlog: self.committer.backlog(),
                 commits: self.committer.stats(),
-                listed_ms_ago: self.now_ms.saturating_sub(self.listed_ms),
+                listed_ms_ago: self.now_ms.saturating_sub(self.instance_list_read_ms),
                 unreported: self.remote.unreported(),
             },
             decisions: self.scheduler.counters,
--- a/crates/engine/src/holders.rs
+++ b/crates/engine/src/holders.rs
@@ -31,8 +31,8 @@
 use crate::Engine;
 use crate::held::Held;
 use crate::held::Known;
+use crate::message::Observation;
 use crate::message::OpId;
-use crate::message::Seen;
 use crate::ops::WorkerOp;
 
 /// Starts in one call to a worker.
@@ -109,11 +109,11 @@
                 self.renew(Some(&worker));
             }
             Some(WorkerOp::Start(worker, tasks)) => {
-                self.calls_due = true;
+                self.worker_calls_due = true;
                 self.on_start_reply(&worker, tasks, reply);
             }
             Some(WorkerOp::Stop(worker, attempts)) => {
-                self.calls_due = true;
+                self.worker_calls_due = true;
                 self.on_stop_reply(&worker, attempts, reply);
             }
             None => {}
@@ -163,7 +163,7 @@
             self.on_report(worker, report);
         }
         self.apply_target(worker);
-        self.shares_due = true;
+        self.quota_shares_due = true;
         self.schedule_due = true;
     }
 
@@ -177,9 +177,9 @@
         // What was never sent surely did not start. What was sent without an
         // answer is asked of the next holder.
         for start in held.starts {
-            self.tell(start.attempt, worker, &start.coordinator, Seen::Absent);
+            self.tell(start.attempt, worker, &start.coordinator, Observation::Absent);
         }
-        self.shares_due = true;
+        self.quota_shares_due = true;
     }
 
     fn note_foreign(&mut self, worker: &WorkerId, foreign: Resources) {
@@ -213,7 +213,7 @@
         } else {
             self.count_ended(worker, attempt, &report.state);
         }
-        self.tell(attempt, worker, &coordinator, Seen::State(report.state.clone()));
+        self.tell(attempt, worker, &coordinator, Observation::State(report.state.clone()));
     }
 
     fn count_running(&mut self, worker: &WorkerId, report: &TaskReport) {
@@ -268,7 +268,7 @@
         if running.is_none_or(|running| running.worker != *worker) {
             return false;
         }
-        self.calls_due = true;
+        self.worker_calls_due = true;
         let Some(held) = self.held.get_mut(worker) else {
             return false;
         };
@@ -287,7 +287,7 @@
         attempt: AttemptId,
         mode: StopMode,
     ) -> bool {
-        self.calls_due = true;
+        self.worker_calls_due = true;
         let Some(held) = self.held.get_mut(worker) else {
             return false;
         };
@@ -295,7 +295,7 @@
         if let Some(index) = held.starts.iter().position(|start| start.attempt == attempt) {
             let start = held.starts.remove(index);
             self.not_started(attempt);
-            self.tell(attempt, worker, &start.coordinator, Seen::Absent);
+            self.tell(attempt, worker, &start.coordinator, Observation::Absent);
             return true;
         }
         let already = held.stops.iter().any(|(other, _)| *other == attempt);
@@ -396,12 +396,17 @@
                     coordinator: start.coordinator.clone(),
                     ended_ms: 0,
                 });
-                self.tell(attempt, worker, &start.coordinator, Seen::State(TaskState::Running));
+                self.tell(
+                    attempt,
+                    worker,
+                    &start.coordinator,
+                    Observation::State(TaskState::Running),
+                );
             }
             StartReply::Refused { .. } => {
                 held.not_before_ms = self.now_ms + RETRY_MS;
                 self.not_started(attempt);
-                self.tell(attempt, worker, &start.coordinator, Seen::Absent);
+                self.tell(attempt, worker, &start.coordinator, Observation::Absent);
             }
         }
     }
--- a/crates/engine/src/jobs.rs
+++ b/crates/engine/src/jobs.rs
@@ -21,12 +21,12 @@
 use stoatwell_placement::WaitingJob;
 
 use crate::Engine;
-use crate::RECENT_MAX;
+use crate::FINISHED_JOBS_MAX;
 use crate::TASKS_PER_PASS;
 use crate::message::Answer;
 use crate::message::Effect;
+use crate::message::Observation;
 use crate::message::PeerCall;
-use crate::message::Seen;
 use crate::message::Ticket;
 use crate::ops::PeerOp;
 
@@ -39,21 +39,21 @@
     /// Whether its record is durable.
     pub(crate) accepted: bool,
     /// Callers that wait for the acceptance, each with how long it then waits on.
-    pub(crate) accepting: Vec<(Ticket, u64)>,
+    pub(crate) acceptance_waiters: Vec<(Ticket, u64)>,
     /// When those callers are told that nothing is known.
     pub(crate) accept_until_ms: UnixMs,
     /// Callers that wait for the outcome, each until a time.
-    pub(crate) waiters: Vec<(Ticket, UnixMs)>,
+    pub(crate) outcome_waiters: Vec<(Ticket, UnixMs)>,
     /// Workers are not asked about its tasks before this time.
-    pub(crate) inquire_ms: UnixMs,
+    pub(crate) inquire_not_before_ms: UnixMs,
     /// When a job that was taken over looks for its running tasks.
-    pub(crate) find_ms: Option<UnixMs>,
+    pub(crate) discovery_due_ms: Option<UnixMs>,
     /// Daemons that have yet to say which of its tasks they have.
-    pub(crate) finding: u32,
+    pub(crate) pending_discoveries: u32,
     /// The request that it is, where its class is that.
     pub(crate) request: Option<u64>,
     /// Whether it is being handed over to another daemon.
-    pub(crate) leaving: bool,
+    pub(crate) handing_over: bool,
 }
 
 impl Job {
@@ -62,14 +62,14 @@
             machine,
             body,
             accepted: false,
-            accepting: Vec::new(),
+            acceptance_waiters: Vec::new(),
             accept_until_ms: 0,
-            waiters: Vec::new(),
-            inquire_ms: 0,
-            find_ms: None,
-            finding: 0,
+            outcome_waiters: Vec::new(),
+            inquire_not_before_ms: 0,
+            discovery_due_ms: None,
+            pending_discoveries: 0,
             request: None,
-            leaving: false,
+            handing_over: false,
         }
     }
 }
@@ -110,7 +110,7 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        if job.leaving || !job.accepted {
+        if job.handing_over || !job.accepted {
             return;
         }
         if job.machine.record.class == Class::Request {
@@ -218,7 +218,7 @@
         // The worker was lost before the start was sent, so it did not start.
         for (attempt, worker) in absent {
             self.not_started(attempt);
-            self.on_seen(attempt, &worker, Seen::Absent);
+            self.on_seen(attempt, &worker, Observation::Absent);
         }
     }
 
@@ -243,7 +243,7 @@
         let of = |(_, worker): &(AttemptId, WorkerId)| worker.clone();
         for (peer, attempts) in self.by_daemon(&elsewhere, of) {
             let call = PeerCall::Stop { attempts, mode: StopMode::Stop };
-            self.call_peer(PeerOp::Notice, &peer, call);
+            self.call_peer(PeerOp::Notification, &peer, call);
         }
     }
 
@@ -255,11 +255,11 @@
         self.scheduler.withdraw(id);
         self.remote.forget(id);
         let view = job.machine.view(Vec::new());
-        for (ticket, _) in job.waiters.iter().chain(&job.accepting) {
+        for (ticket, _) in job.outcome_waiters.iter().chain(&job.acceptance_waiters) {
             self.answer_job(*ticket, Ok(view.clone()));
         }
         let attempts = job.machine.attempts_with_workers();
-        self.remember(view);
+        self.remember_finished(view);
         self.end_orphans(id);
         self.acknowledge_elsewhere(attempts);
     }
@@ -272,33 +272,33 @@
         let attempts: Vec<(AttemptId, WorkerId)> = attempts.into_iter().collect();
         let of = |(_, worker): &(AttemptId, WorkerId)| worker.clone();
         for (peer, attempts) in self.by_daemon(&attempts, of) {
-            self.call_peer(PeerOp::Notice, &peer, PeerCall::Acknowledge { attempts });
+            self.call_peer(PeerOp::Notification, &peer, PeerCall::Acknowledge { attempts });
         }
     }
 
-    pub(crate) fn remember(&mut self, view: JobView) {
+    pub(crate) fn remember_finished(&mut self, view: JobView) {
         let id = view.job;
-        if self.recent.insert(id, view).is_none() {
-            self.recent_order.push_back(id);
+        if self.finished_jobs.insert(id, view).is_none() {
+            self.finished_order.push_back(id);
         }
-        if self.recent_order.len() > RECENT_MAX
-            && let Some(oldest) = self.recent_order.pop_front()
+        if self.finished_order.len() > FINISHED_JOBS_MAX
+            && let Some(oldest) = self.finished_order.pop_front()
         {
-            self.recent.remove(&oldest);
+            self.finished_jobs.remove(&oldest);
         }
     }
 
     /// Lets a caller wait for the outcome, or answers at once.
-    pub(crate) fn wait_for(&mut self, id: JobId, ticket: Ticket, wait_ms: u64) {
+    pub(crate) fn wait_for_outcome(&mut self, id: JobId, ticket: Ticket, wait_ms: u64) {
         let until_ms = self.now_ms + wait_ms.min(self.settings.http.wait_max_ms);
         if wait_ms > 0
             && let Some(job) = self.jobs.get_mut(&id)
         {
-            job.waiters.push((ticket, until_ms));
+            job.outcome_waiters.push((ticket, until_ms));
             return;
         }
         let view = self.view(id);
-        let view = view.or_else(|| self.recent.get(&id).cloned());
+        let view = view.or_else(|| self.finished_jobs.get(&id).cloned());
         self.answer_job(ticket, view.ok_or_else(|| Failure::new(Code::NoSuchJob)));
     }
 
@@ -310,12 +310,12 @@
             if !job.accepted
                 && job.accept_until_ms + self.settings.platform.store_timeout_ms <= now_ms
             {
-                unknown.extend(std::mem::take(&mut job.accepting));
+                unknown.extend(std::mem::take(&mut job.acceptance_waiters));
             }
-            let (over, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut job.waiters)
+            let (over, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut job.outcome_waiters)
                 .into_iter()
                 .partition(|(_, until_ms)| *until_ms <= now_ms);
-            job.waiters = waiting;
+            job.outcome_waiters = waiting;
             due.extend(over.into_iter().map(|(ticket, _)| (ticket, *id)));
         }
         for (ticket, _) in unknown {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -68,18 +68,18 @@
 pub use crate::message::Effect;
 pub use crate::message::Event;
 pub use crate::message::JobMeta;
+pub use crate::message::Observation;
 pub use crate::message::OpId;
 pub use crate::message::PeerCall;
 pub use crate::message::PeerReply;
 pub use crate::message::Reservation;
-pub use crate::message::Seen;
 pub use crate::message::SubmitCall;
 pub use crate::message::TaskReply;
 pub use crate::message::Ticket;
-pub use crate::message::ZoneNews;
+pub use crate::message::ZoneUpdate;
 
 /// Finished jobs whose views are kept for callers that ask again.
-const RECENT_MAX: usize = 4_096;
+const FINISHED_JOBS_MAX: usize = 4_096;
 /// Failed calls to the store in a row after which nothing new is written to it.
 const STORE_FAILURES_MAX: u32 = 3;
 /// Tasks placed in one pass.
@@ -96,10 +96,10 @@
     write_ids: u64,
 
     catalogue: Catalogue,
-    follow: Follow,
+    follower: Follow,
     applied_revision: u64,
     /// Whether shares of quotas have to be worked out anew.
-    shares_due: bool,
+    quota_shares_due: bool,
     retargeting: BTreeMap<WorkerId, UnixMs>,
 
     members: Members,
@@ -107,24 +107,24 @@
     telling: Telling,
     next_heartbeat_ms: UnixMs,
     next_relay_ms: UnixMs,
-    next_list_ms: UnixMs,
-    listing: bool,
-    listed_ms: UnixMs,
+    next_instance_list_ms: UnixMs,
+    instance_list_pending: bool,
+    instance_list_read_ms: UnixMs,
     worker_zones: HashMap<WorkerId, ZoneName>,
-    gone: BTreeMap<WorkerId, UnixMs>,
+    missing_since: BTreeMap<WorkerId, UnixMs>,
 
     holdings: Holdings,
     held: BTreeMap<WorkerId, Held>,
     remote: Remote,
 
     leases_checked_ms: UnixMs,
-    calls_due: bool,
+    worker_calls_due: bool,
 
     scheduler: Scheduler,
     schedule_due: bool,
     jobs: BTreeMap<JobId, Job>,
-    recent: HashMap<JobId, JobView>,
-    recent_order: VecDeque<JobId>,
+    finished_jobs: HashMap<JobId, JobView>,
+    finished_order: VecDeque<JobId>,
     committer: Committer,
     /// Calls to the store in a row that brought nothing.
     store_failures: u32,
@@ -160,30 +160,30 @@
             ops: Ops::default(),
             write_ids: xxh3_64(seed.as_bytes()),
             catalogue: Catalogue::default(),
-            follow: Follow::new(settings.catalogue.poll_ms),
+            follower: Follow::new(settings.catalogue.poll_ms),
             applied_revision: 0,
-            shares_due: false,
+            quota_shares_due: false,
             retargeting: BTreeMap::new(),
             members,
             zones: BTreeMap::new(),
             telling: Telling::default(),
             next_heartbeat_ms: 0,
             next_relay_ms: 0,
-            next_list_ms: 0,
-            listing: false,
-            listed_ms: 0,
+            next_instance_list_ms: 0,
+            instance_list_pending: false,
+            instance_list_read_ms: 0,
             worker_zones: HashMap::new(),
-            gone: BTreeMap::new(),
+            missing_since: BTreeMap::new(),
             holdings,
             held: BTreeMap::new(),
             remote: Remote::default(),
             scheduler: Scheduler::new(policy),
             leases_checked_ms: 0,
-            calls_due: false,
+            worker_calls_due: false,
             schedule_due: false,
             jobs: BTreeMap::new(),
-            recent: HashMap::new(),
-            recent_order: VecDeque::new(),
+            finished_jobs: HashMap::new(),
+            finished_order: VecDeque::new(),
             committer: Committer::new(
                 settings.ledger.rows_per_commit,
                 settings.ledger.commits_per_second,
@@ -218,7 +218,7 @@
             Event::Edit { ticket, key, edit, expected, by } => {
                 self.on_edit(ticket, key, edit, expected, by);
             }
-            Event::Store { ticket, call } => self.on_store_question(ticket, call),
+            Event::Store { ticket, call } => self.on_store_query(ticket, call),
             Event::Peer { ticket, call } => self.on_peer_call(ticket, call),
             Event::StoreDone { op, reply } => self.on_store_done(op, reply),
             Event::WorkerDone { op, reply } => self.on_worker_done(op, reply),
@@ -233,7 +233,7 @@
     /// Whether callers and operators can be served: the catalogue is known, be
     /// it that there is none yet.
     pub fn is_ready(&self) -> bool {
-        let known = self.catalogue.revision() > 0 || self.follow.confirmed_ms() > 0;
+        let known = self.catalogue.revision() > 0 || self.follower.confirmed_ms() > 0;
         !self.stopping && known
     }
 
@@ -266,7 +266,7 @@
         self.reach_out();
         self.advance_stop();
         self.schedule_due = true;
-        self.calls_due = true;
+        self.worker_calls_due = true;
     }
 
     /// What follows from every event: placing, sending, committing.
@@ -278,8 +278,8 @@
             self.schedule();
         }
         self.serve_waiting_requests();
-        if self.calls_due {
-            self.calls_due = false;
+        if self.worker_calls_due {
+            self.worker_calls_due = false;
             self.call_workers();
         }
         self.commit();
--- a/crates/engine/src/lookup.rs
+++ b/crates/engine/src/lookup.rs
@@ -22,7 +22,7 @@
 use crate::ops::StoreOp;
 use crate::submit::RETRY_AFTER_MS;
 use crate::submit::content_hash;
-use crate::submit::may_see;
+use crate::submit::may_access;
 use crate::submit::view_of_record;
 
 /// Longest wait for a cancellation's outcome to become durable.
@@ -32,10 +32,10 @@
     pub(crate) fn on_status(&mut self, ticket: Ticket, caller: &Caller, job: JobId, wait_ms: u64) {
         let owner = self.owner_of(job);
         match owner {
-            Some(owner) if !may_see(caller, &owner) => {
+            Some(owner) if !may_access(caller, &owner) => {
                 self.answer_job(ticket, Err(Failure::new(Code::NoSuchJob)));
             }
-            Some(_) => self.wait_for(job, ticket, wait_ms),
+            Some(_) => self.wait_for_outcome(job, ticket, wait_ms),
             None => {
                 let caller = caller.clone();
                 self.look_up(Lookup::Status { ticket, caller, job, wait_ms });
@@ -45,7 +45,7 @@
 
     pub(crate) fn on_peer_status(&mut self, ticket: Ticket, job: JobId, wait_ms: u64) {
         if self.owner_of(job).is_some() {
-            self.wait_for(job, ticket, wait_ms);
+            self.wait_for_outcome(job, ticket, wait_ms);
             return;
         }
         self.answer_job(ticket, Err(Failure::new(Code::NoSuchJob)));
@@ -53,7 +53,7 @@
 
     pub(crate) fn on_cancel(&mut self, ticket: Ticket, caller: &Caller, job: JobId) {
         match self.owner_of(job) {
-            Some(owner) if !may_see(caller, &owner) => {
+            Some(owner) if !may_access(caller, &owner) => {
                 self.answer_job(ticket, Err(Failure::new(Code::NoSuchJob)));
             }
             Some(_) => self.cancel_here(ticket, job),
@@ -75,14 +75,14 @@
     pub(crate) fn cancel_here(&mut self, ticket: Ticket, job: JobId) {
         self.drive(job, JobMachine::cancel);
         // The answer may be "not run", which has to be durable before it is told.
-        self.wait_for(job, ticket, CANCEL_WAIT_MS);
+        self.wait_for_outcome(job, ticket, CANCEL_WAIT_MS);
     }
 
     pub(crate) fn owner_of(&self, job: JobId) -> Option<OwnerName> {
         if let Some(found) = self.jobs.get(&job) {
             return Some(found.machine.record.owner.clone());
         }
-        self.recent.get(&job).map(|view| view.owner.clone())
+        self.finished_jobs.get(&job).map(|view| view.owner.clone())
     }
 
     pub(crate) fn look_up(&mut self, lookup: Lookup) {
@@ -107,12 +107,12 @@
         };
         match (lookup, record) {
             (Lookup::Status { ticket, caller, wait_ms, .. }, Ok(Some(found)))
-                if may_see(&caller, &found.owner) =>
+                if may_access(&caller, &found.owner) =>
             {
                 self.answer_from_record(ticket, found, wait_ms);
             }
             (Lookup::Cancel { ticket, caller, job }, Ok(Some(found)))
-                if may_see(&caller, &found.owner) =>
+                if may_access(&caller, &found.owner) =>
             {
                 self.cancel_elsewhere(ticket, job, found);
             }
@@ -148,7 +148,9 @@
         }
         let coordinator = record.coordinator.clone();
         let live = self.is_live(&coordinator) && coordinator != self.me.daemon;
-        if !live || !self.call_peer(PeerOp::Pass(ticket), &coordinator, PeerCall::Cancel { job }) {
+        if !live
+            || !self.call_peer(PeerOp::ProxyReply(ticket), &coordinator, PeerCall::Cancel { job })
+        {
             let failure = Failure::with_detail(Code::PeerUnavailable, coordinator);
             self.answer_job(ticket, Err(failure.retry_after(RETRY_AFTER_MS)));
         }
@@ -158,7 +160,7 @@
     pub(crate) fn answer_from_record(&mut self, ticket: Ticket, record: JobRecord, wait_ms: u64) {
         if record.outcome.is_some() {
             let view = view_of_record(record, Vec::new());
-            self.remember(view.clone());
+            self.remember_finished(view.clone());
             self.answer_job(ticket, Ok(view));
             return;
         }
@@ -166,7 +168,11 @@
         let job = record.job;
         let asks = !self.is_silent(&coordinator) && coordinator != self.me.daemon;
         if asks
-            && self.call_peer(PeerOp::Pass(ticket), &coordinator, PeerCall::Status { job, wait_ms })
+            && self.call_peer(
+                PeerOp::ProxyReply(ticket),
+                &coordinator,
+                PeerCall::Status { job, wait_ms },
+            )
         {
             return;
         }
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -220,7 +220,7 @@
         /// The sender.
         beat: Heartbeat,
         /// What the sender knows of zones that the receiver does not hear itself.
-        news: Vec<ZoneNews>,
+        news: Vec<ZoneUpdate>,
     },
     /// What changed in the catalogue since this revision?
     CatalogueSince {
@@ -289,7 +289,7 @@
         /// The sender.
         from: DaemonId,
         /// What was seen.
-        reports: Vec<(AttemptId, WorkerId, Seen)>,
+        reports: Vec<(AttemptId, WorkerId, Observation)>,
     },
     /// The outcome is durable; the workers may forget these.
     Acknowledge {
@@ -311,7 +311,7 @@
         /// The answerer.
         beat: Heartbeat,
         /// What it knows of other zones.
-        news: Vec<ZoneNews>,
+        news: Vec<ZoneUpdate>,
     },
     /// What changed.
     News(News),
@@ -384,7 +384,7 @@
 
 /// What the holder of a worker saw of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Seen {
+pub enum Observation {
     /// The worker reports it so.
     State(TaskState),
     /// It never started and never will.
@@ -403,12 +403,12 @@
     /// Its worker.
     pub worker: WorkerId,
     /// What was seen.
-    pub seen: Seen,
+    pub seen: Observation,
 }
 
 /// What is known of another zone, in short.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ZoneNews {
+pub struct ZoneUpdate {
     /// The zone.
     pub zone: ZoneName,
     /// How old this is.
--- a/crates/engine/src/news.rs
+++ b/crates/engine/src/news.rs
@@ -12,7 +12,7 @@
 
 use crate::Engine;
 use crate::message::PeerCall;
-use crate::message::ZoneNews;
+use crate::message::ZoneUpdate;
 use crate::ops::PeerOp;
 use crate::peers::NEWS_REPEAT_MS;
 use crate::peers::ZoneState;
@@ -39,7 +39,7 @@
     }
 
     /// The own zone's news for another zone, if they are due there.
-    pub(crate) fn own_news_for(&mut self, zone: &ZoneName) -> Vec<ZoneNews> {
+    pub(crate) fn own_news_for(&mut self, zone: &ZoneName) -> Vec<ZoneUpdate> {
         let news = self.own_zone_news();
         if self.telling.zone_news.as_ref().is_none_or(|told| is_news(told, &news)) {
             self.telling.zone_news = Some(news.clone());
@@ -71,7 +71,7 @@
         relays
     }
 
-    pub(crate) fn own_zone_news(&mut self) -> ZoneNews {
+    pub(crate) fn own_zone_news(&mut self) -> ZoneUpdate {
         let mut summary = self.summary();
         let mut daemons = vec![self.me.clone()];
         let mut revision = self.catalogue.revision();
@@ -80,11 +80,11 @@
             revision = revision.max(member.revision);
             add_summary(&mut summary, &member.summary);
         }
-        ZoneNews { zone: self.me.zone.clone(), age_ms: 0, daemons, revision, summary }
+        ZoneUpdate { zone: self.me.zone.clone(), age_ms: 0, daemons, revision, summary }
     }
 
     /// News of other zones that this daemon has not been told.
-    pub(crate) fn news_for(&mut self, daemon: &DaemonId) -> Vec<ZoneNews> {
+    pub(crate) fn news_for(&mut self, daemon: &DaemonId) -> Vec<ZoneUpdate> {
         let now_ms = self.now_ms;
         let mut news = Vec::new();
         for state in self.zones.values_mut() {
@@ -95,12 +95,12 @@
             }
             state.told.insert(daemon.clone(), (state.changes, now_ms));
             let age_ms = now_ms.saturating_sub(state.heard_ms);
-            news.push(ZoneNews { age_ms, ..state.news.clone() });
+            news.push(ZoneUpdate { age_ms, ..state.news.clone() });
         }
         news
     }
 
-    pub(crate) fn on_news(&mut self, news: Vec<ZoneNews>) {
+    pub(crate) fn on_news(&mut self, news: Vec<ZoneUpdate>) {
         for item in news {
             if item.zone == self.me.zone {
                 continue;
@@ -156,7 +156,7 @@
 }
 
 /// Whether the difference is worth telling.
-fn is_news(old: &ZoneNews, new: &ZoneNews) -> bool {
+fn is_news(old: &ZoneUpdate, new: &ZoneUpdate) -> bool {
     old.daemons != new.daemons
         || old.revision != new.revision
         || is_summary_news(&old.summary, &new.summary)
--- a/crates/engine/src/ops.rs
+++ b/crates/engine/src/ops.rs
@@ -41,11 +41,11 @@
     /// Changing the catalogue; without a ticket nobody waits.
     Edit(Option<Ticket>, Box<Edit>),
     /// Passing somebody's question on.
-    Question(Ticket),
+    Query(Ticket),
     /// The instance list: that of all zones or only of this one.
-    List { whole: bool },
+    List { all_zones: bool },
     /// Keeping a large body before its job is recorded.
-    KeepBody(JobId),
+    StoreBody(JobId),
     /// Reading the large body of a job that was taken over.
     LoadBody(JobId),
     /// Looking up a job that is not run here.
@@ -101,7 +101,7 @@
     /// Catching up with the catalogue.
     Catalogue,
     /// A job's answer is passed on to somebody who waits.
-    Pass(Ticket),
+    ProxyReply(Ticket),
     /// Work was handed on; it is run here if the other did not get it.
     Forward { ticket: Ticket, caller: Caller, key: String, submission: Submission, wait_ms: u64 },
     /// Room on another's workers.
@@ -113,7 +113,7 @@
     /// Reports of tasks.
     Report { to: DaemonId },
     /// Nothing depends on the answer.
-    Notice,
+    Notification,
 }
 
 impl Engine {
--- a/crates/engine/src/peers.rs
+++ b/crates/engine/src/peers.rs
@@ -29,7 +29,7 @@
 use crate::message::PeerCall;
 use crate::message::PeerReply;
 use crate::message::Ticket;
-use crate::message::ZoneNews;
+use crate::message::ZoneUpdate;
 use crate::ops::PeerOp;
 use crate::ops::StoreOp;
 
@@ -50,7 +50,7 @@
     pub(crate) summary: Summary,
     pub(crate) changes: u64,
     pub(crate) peers: HashMap<DaemonId, (u64, UnixMs)>,
-    pub(crate) zone_news: Option<ZoneNews>,
+    pub(crate) zone_news: Option<ZoneUpdate>,
     pub(crate) zone_changes: u64,
     pub(crate) zones: HashMap<ZoneName, (u64, UnixMs)>,
 }
@@ -70,7 +70,7 @@
 /// What is known of another zone.
 #[derive(Clone, Debug)]
 pub(crate) struct ZoneState {
-    pub(crate) news: ZoneNews,
+    pub(crate) news: ZoneUpdate,
     pub(crate) heard_ms: UnixMs,
     pub(crate) changes: u64,
     pub(crate) told: HashMap<DaemonId, (u64, UnixMs)>,
@@ -132,7 +132,7 @@
         }
     }
 
-    fn on_heartbeat(&mut self, beat: &Heartbeat, news: Vec<ZoneNews>) {
+    fn on_heartbeat(&mut self, beat: &Heartbeat, news: Vec<ZoneUpdate>) {
         self.members.on_heartbeat(self.now_ms, beat);
         let newest = news.iter().map(|item| item.revision).max().unwrap_or(0);
         if beat.revision > self.catalogue.revision() || newest > self.catalogue.revision() {
@@ -168,7 +168,7 @@
             }
             PeerCall::Changed { revision } => {
                 if revision > self.catalogue.revision() {
-                    self.follow.hurry();
+                    self.follower.hurry();
                     self.poll_catalogue();
                 }
                 PeerReply::Noted
@@ -202,7 +202,7 @@
                 self.on_heartbeat(&beat, news);
             }
             (PeerOp::Catalogue, Ok(PeerReply::News(news))) => self.on_catalogue_news(news),
-            (PeerOp::Pass(ticket), reply) => self.pass_on(ticket, reply),
+            (PeerOp::ProxyReply(ticket), reply) => self.pass_on(ticket, reply),
             (PeerOp::Forward { ticket, caller, key, submission, wait_ms }, reply) => {
                 self.on_forward_done(ticket, &caller, key, submission, wait_ms, reply);
             }
@@ -219,7 +219,7 @@
                 | PeerOp::Catalogue
                 | PeerOp::Inquire
                 | PeerOp::Report { .. }
-                | PeerOp::Notice,
+                | PeerOp::Notification,
                 _,
             ) => {}
         }
@@ -227,29 +227,29 @@
 
     fn on_catalogue_news(&mut self, news: News) {
         if self.catalogue.take(news) {
-            self.tell_zone_of_change();
+            self.announce_revision();
         }
     }
 
     pub(crate) fn read_list(&mut self) {
-        if self.listing || self.now_ms < self.next_list_ms {
+        if self.instance_list_pending || self.now_ms < self.next_instance_list_ms {
             return;
         }
-        self.listing = true;
-        self.next_list_ms = self.now_ms + self.settings.platform.instances_interval_ms;
+        self.instance_list_pending = true;
+        self.next_instance_list_ms = self.now_ms + self.settings.platform.instances_interval_ms;
         // Only this zone's workers, unless work was taken over from another zone:
         // the whole list at the target is hundreds of kilobytes.
         let abroad = self.works_abroad();
         let zone = if abroad { None } else { Some(self.me.zone.clone()) };
-        self.call_store(StoreOp::List { whole: abroad }, StoreCall::Instances { zone });
+        self.call_store(StoreOp::List { all_zones: abroad }, StoreCall::Instances { zone });
     }
 
     pub(crate) fn on_list(&mut self, whole: bool, reply: Result<StoreReply, CallError>) {
-        self.listing = false;
+        self.instance_list_pending = false;
         let Ok(StoreReply::Instances { instances }) = reply else {
             return;
         };
-        self.listed_ms = self.now_ms;
+        self.instance_list_read_ms = self.now_ms;
         let mut daemons = Vec::new();
         let mut workers = Vec::new();
         let mut zones = HashMap::new();
@@ -277,7 +277,7 @@
         self.members.on_list(self.now_ms, &daemons);
         let list_bytes = (daemons.len() + zones.len()) as u64 * INSTANCE_BYTES;
         let paced_ms = list_bytes * 1_000 / LIST_BYTES_PER_SECOND;
-        self.next_list_ms = self.next_list_ms.max(self.now_ms + paced_ms);
+        self.next_instance_list_ms = self.next_instance_list_ms.max(self.now_ms + paced_ms);
         if !whole {
             let others = std::mem::take(&mut self.worker_zones);
             zones.extend(others.into_iter().filter(|(_, zone)| *zone != self.me.zone));
--- a/crates/engine/src/remote.rs
+++ b/crates/engine/src/remote.rs
@@ -22,10 +22,10 @@
 
 use crate::Engine;
 use crate::message::JobMeta;
+use crate::message::Observation;
 use crate::message::PeerCall;
 use crate::message::PeerReply;
 use crate::message::Reservation;
-use crate::message::Seen;
 use crate::ops::PeerOp;
 
 /// Room that was set aside and not used goes back after this time.
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 struct Report {
     worker: WorkerId,
-    seen: Seen,
+    seen: Observation,
     due_ms: UnixMs,
 }
 
@@ -84,7 +84,7 @@
         to: &DaemonId,
         attempt: AttemptId,
         worker: &WorkerId,
-        seen: Seen,
+        seen: Observation,
     ) {
         let report = Report { worker: worker.clone(), seen, due_ms: 0 };
         self.outbox.entry(to.clone()).or_default().insert(attempt, report);
@@ -352,7 +352,7 @@
 
     pub(crate) fn send_remote_starts(&mut self) {
         for (holder, tasks) in std::mem::take(&mut self.remote.starts) {
-            self.call_peer(PeerOp::Notice, &holder, PeerCall::Start { tasks });
+            self.call_peer(PeerOp::Notification, &holder, PeerCall::Start { tasks });
         }
     }
 
@@ -371,7 +371,7 @@
                 continue;
             }
             if current {
-                self.tell(attempt, &worker, &coordinator, Seen::Absent);
+                self.tell(attempt, &worker, &coordinator, Observation::Absent);
             }
             if promised {
                 self.not_started(attempt);
@@ -419,12 +419,12 @@
     pub(crate) fn on_reports(
         &mut self,
         from: &DaemonId,
-        reports: Vec<(AttemptId, WorkerId, Seen)>,
+        reports: Vec<(AttemptId, WorkerId, Observation)>,
     ) -> PeerReply {
         let mut attempts = Vec::new();
         let mut unknown = Vec::new();
         for (attempt, worker, seen) in reports {
-            let ended = matches!(&seen, Seen::State(state) if !state.is_running());
+            let ended = matches!(&seen, Observation::State(state) if !state.is_running());
             if !self.on_seen(attempt, &worker, seen) {
                 unknown.push(attempt);
                 continue;
@@ -432,7 +432,7 @@
             attempts.push(attempt);
             if ended && self.may_forget(attempt) {
                 let call = PeerCall::Acknowledge { attempts: vec![(attempt, worker)] };
-                self.call_peer(PeerOp::Notice, from, call);
+                self.call_peer(PeerOp::Notification, from, call);
             }
         }
         PeerReply::Acknowledged { attempts, unknown }
@@ -445,7 +445,7 @@
                 let repeatable = !job.machine.record.execution.needs_intent();
                 repeatable && !job.machine.is_current(attempt)
             }
-            None => self.recent.contains_key(&attempt.job),
+            None => self.finished_jobs.contains_key(&attempt.job),
         }
     }
 
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -117,7 +117,7 @@
         self.next_request += 1;
         if once {
             let mut job = Job::new(JobMachine::new(record.clone(), 0, 1), String::new());
-            job.accepting.push((ticket, deadline_ms.saturating_sub(self.now_ms)));
+            job.acceptance_waiters.push((ticket, deadline_ms.saturating_sub(self.now_ms)));
             job.accept_until_ms = deadline_ms;
             job.request = Some(number);
             self.jobs.insert(record.job, job);
@@ -301,8 +301,11 @@
             return;
         };
         let mut tickets: Vec<Ticket> = Vec::new();
-        tickets.extend(std::mem::take(&mut job.waiters).into_iter().map(|(ticket, _)| ticket));
-        tickets.extend(std::mem::take(&mut job.accepting).into_iter().map(|(ticket, _)| ticket));
+        tickets
+            .extend(std::mem::take(&mut job.outcome_waiters).into_iter().map(|(ticket, _)| ticket));
+        tickets.extend(
+            std::mem::take(&mut job.acceptance_waiters).into_iter().map(|(ticket, _)| ticket),
+        );
         for ticket in tickets {
             self.answer_job(ticket, Ok(view.clone()));
         }
--- a/crates/engine/src/seal.rs
+++ b/crates/engine/src/seal.rs
@@ -30,7 +30,7 @@
             return;
         };
         job.request = None;
-        job.inquire_ms = self.now_ms;
+        job.inquire_not_before_ms = self.now_ms;
         job.machine.note("the minion did not answer in time and is being asked".to_owned());
         let view = JobView {
             state: stoatwell_model::JobState::Unknown,
@@ -49,11 +49,13 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.request.is_some() || now_ms < job.inquire_ms || job.machine.record.outcome.is_some()
+        if job.request.is_some()
+            || now_ms < job.inquire_not_before_ms
+            || job.machine.record.outcome.is_some()
         {
             return;
         }
-        job.inquire_ms = now_ms + SEAL_AGAIN_MS;
+        job.inquire_not_before_ms = now_ms + SEAL_AGAIN_MS;
         let Some(intent) = job.machine.record.intents.first().cloned() else {
             return;
         };
--- a/crates/engine/src/seen.rs
+++ b/crates/engine/src/seen.rs
@@ -8,7 +8,7 @@
 use stoatwell_model::worker::TaskState;
 
 use crate::Engine;
-use crate::message::Seen;
+use crate::message::Observation;
 
 /// Before a refused start is placed again.
 const REFUSED_PAUSE_MS: u64 = 100;
@@ -20,7 +20,7 @@
         attempt: AttemptId,
         worker: &WorkerId,
         coordinator: &stoatwell_model::DaemonId,
-        seen: Seen,
+        seen: Observation,
     ) {
         if *coordinator == self.me.daemon {
             self.on_seen(attempt, worker, seen);
@@ -30,15 +30,20 @@
     }
 
     /// Takes what was seen of a task of a job that runs here; says whether it does.
-    pub(crate) fn on_seen(&mut self, attempt: AttemptId, worker: &WorkerId, seen: Seen) -> bool {
+    pub(crate) fn on_seen(
+        &mut self,
+        attempt: AttemptId,
+        worker: &WorkerId,
+        seen: Observation,
+    ) -> bool {
         let one = BTreeMap::from([(attempt, worker.clone())]);
         let Some(job) = self.jobs.get(&attempt.job) else {
             return self.on_seen_of_finished(attempt, worker, &seen);
         };
-        let ended = matches!(&seen, Seen::State(state) if !state.is_running());
+        let ended = matches!(&seen, Observation::State(state) if !state.is_running());
         let repeatable = !job.machine.record.execution.needs_intent();
-        let looks = job.finding > 0 || job.find_ms.is_some();
-        if looks && let Seen::State(state) = &seen {
+        let looks = job.pending_discoveries > 0 || job.discovery_due_ms.is_some();
+        if looks && let Observation::State(state) = &seen {
             self.drive(attempt.job, |machine, now_ms| {
                 machine.on_found(now_ms, attempt, worker, state)
             });
@@ -70,25 +75,30 @@
         job.machine.is_current(attempt) && !elsewhere
     }
 
-    pub(crate) fn end_earlier_try(&mut self, attempt: AttemptId, worker: &WorkerId, seen: &Seen) {
+    pub(crate) fn end_earlier_try(
+        &mut self,
+        attempt: AttemptId,
+        worker: &WorkerId,
+        seen: &Observation,
+    ) {
         match seen {
-            Seen::State(TaskState::Running) => {
+            Observation::State(TaskState::Running) => {
                 self.stop_here(worker, attempt, StopMode::Stop);
             }
-            Seen::State(_) => self.acknowledge(&BTreeMap::from([(attempt, worker.clone())])),
-            Seen::Absent | Seen::Pending | Seen::Forgotten => {}
+            Observation::State(_) => self.acknowledge(&BTreeMap::from([(attempt, worker.clone())])),
+            Observation::Absent | Observation::Pending | Observation::Forgotten => {}
         }
     }
 
-    pub(crate) fn drive_seen(&mut self, attempt: AttemptId, seen: &Seen) {
-        if matches!(seen, Seen::Absent) {
+    pub(crate) fn drive_seen(&mut self, attempt: AttemptId, seen: &Observation) {
+        if matches!(seen, Observation::Absent) {
             self.scheduler.queue.defer(attempt.job, self.now_ms + REFUSED_PAUSE_MS);
         }
         self.drive(attempt.job, |machine, now_ms| match seen {
-            Seen::State(state) => machine.on_report(now_ms, attempt, state),
-            Seen::Absent => machine.on_absent(now_ms, attempt),
-            Seen::Forgotten => machine.on_lost(now_ms, attempt),
-            Seen::Pending => Vec::new(),
+            Observation::State(state) => machine.on_report(now_ms, attempt, state),
+            Observation::Absent => machine.on_absent(now_ms, attempt),
+            Observation::Forgotten => machine.on_lost(now_ms, attempt),
+            Observation::Pending => Vec::new(),
         });
     }
 
@@ -98,9 +108,9 @@
         &mut self,
         attempt: AttemptId,
         worker: &WorkerId,
-        seen: &Seen,
+        seen: &Observation,
     ) -> bool {
-        if !self.recent.contains_key(&attempt.job) {
+        if !self.finished_jobs.contains_key(&attempt.job) {
             return false;
         }
         self.end_earlier_try(attempt, worker, seen);
--- a/crates/engine/src/stop.rs
+++ b/crates/engine/src/stop.rs
@@ -25,7 +25,7 @@
             return;
         }
         self.hand_jobs_over();
-        let handed_on = |op: &PeerOp| matches!(op, PeerOp::Forward { .. } | PeerOp::Pass(_));
+        let handed_on = |op: &PeerOp| matches!(op, PeerOp::Forward { .. } | PeerOp::ProxyReply(_));
         let requests_done = self.requests.is_empty() && !self.ops.peer.values().any(handed_on);
         let successor = !self.zone_peers().is_empty();
         let jobs_done = self.jobs.values().all(|job| !successor && !job.machine.is_writing());
@@ -47,7 +47,7 @@
             let record = &job.machine.record;
             let in_line = record.class == Class::Request && job.request.is_some();
             let settled = job.accepted && !job.machine.is_writing() && record.outcome.is_none();
-            if settled && !job.leaving && !in_line {
+            if settled && !job.handing_over && !in_line {
                 ready.push(*id);
             }
         }
@@ -57,7 +57,7 @@
                 continue;
             };
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.leaving = true;
+                job.handing_over = true;
                 job.machine.hand_to(successor, &self.me.zone);
             }
             self.write_job(id);
@@ -71,11 +71,11 @@
         };
         let successor = job.machine.record.coordinator.clone();
         let call = PeerCall::Adopt { jobs: vec![id] };
-        self.call_peer(PeerOp::Notice, &successor, call);
-        for (ticket, until_ms) in job.waiters {
+        self.call_peer(PeerOp::Notification, &successor, call);
+        for (ticket, until_ms) in job.outcome_waiters {
             let wait_ms = until_ms.saturating_sub(self.now_ms);
             let call = PeerCall::Status { job: id, wait_ms };
-            if !self.call_peer(PeerOp::Pass(ticket), &successor, call) {
+            if !self.call_peer(PeerOp::ProxyReply(ticket), &successor, call) {
                 let failure = stoatwell_model::Failure::new(stoatwell_model::Code::PeerUnavailable);
                 self.answer_job(ticket, Err(failure.retry_after(1_000)));
             }
--- a/crates/engine/src/submit.rs
+++ b/crates/engine/src/submit.rs
@@ -78,7 +78,7 @@
         let Some(entry) = self.catalogue.work(&submission.entry).cloned() else {
             return false;
         };
-        if !may_see(caller, &entry.owner) {
+        if !may_access(caller, &entry.owner) {
             return false;
         }
         let live = self.members.live(self.now_ms);
@@ -193,9 +193,9 @@
             return true;
         }
         if job.accepted {
-            self.wait_for(id, ticket, wait_ms);
+            self.wait_for_outcome(id, ticket, wait_ms);
         } else {
-            job.accepting.push((ticket, wait_ms));
+            job.acceptance_waiters.push((ticket, wait_ms));
         }
         true
     }
@@ -311,16 +311,18 @@
         let body = admitted.submission.body;
         let object = record.body_object.clone();
         let mut job = Job::new(JobMachine::new(record, 0, attempts_max), body.clone());
-        job.accepting.push((ticket, wait_ms));
+        job.acceptance_waiters.push((ticket, wait_ms));
         job.accept_until_ms = self.now_ms + self.settings.ledger.accept_timeout_ms;
         self.jobs.insert(id, job);
         match object {
-            Some(key) => self.call_store(StoreOp::KeepBody(id), StoreCall::PutObject { key, body }),
+            Some(key) => {
+                self.call_store(StoreOp::StoreBody(id), StoreCall::PutObject { key, body })
+            }
             None => self.write_job(id),
         }
     }
 
-    pub(crate) fn on_body_kept(&mut self, id: JobId, reply: &Result<StoreReply, CallError>) {
+    pub(crate) fn on_body_stored(&mut self, id: JobId, reply: &Result<StoreReply, CallError>) {
         if reply.is_ok() {
             self.write_job(id);
             return;
@@ -329,7 +331,7 @@
         let Some(job) = self.jobs.remove(&id) else {
             return;
         };
-        for (ticket, _) in job.accepting {
+        for (ticket, _) in job.acceptance_waiters {
             let failure = Failure::new(Code::StoreUnavailable).retry_after(RETRY_AFTER_MS);
             self.answer_job(ticket, Err(failure));
         }
@@ -374,7 +376,7 @@
     xxh3_64(key.as_bytes()) % PERMILLE >= u64::from(entry.traffic_permille)
 }
 
-pub(crate) fn may_see(caller: &Caller, owner: &OwnerName) -> bool {
+pub(crate) fn may_access(caller: &Caller, owner: &OwnerName) -> bool {
     match caller {
         Caller::Operator => true,
         Caller::Owner(name) => name == owner,
--- a/crates/engine/src/sweep.rs
+++ b/crates/engine/src/sweep.rs
@@ -193,7 +193,7 @@
         let id = record.job;
         if let Some(job) = self.jobs.get(&id) {
             if job.accepted && job.machine.record.epoch < record.epoch {
-                self.lose_job(id, &row.value);
+                self.abandon_job(id, &row.value);
             }
             return;
         }
@@ -216,8 +216,8 @@
         // The new holders of the dead daemon's workers need this long to know
         // what runs there.
         let settled_ms = self.now_ms + self.holdings.ttl_ms();
-        job.find_ms = Some(settled_ms);
-        job.inquire_ms = settled_ms;
+        job.discovery_due_ms = Some(settled_ms);
+        job.inquire_not_before_ms = settled_ms;
         job.accept_until_ms = UnixMs::MAX / 2;
         self.jobs.insert(id, job);
         match object {
@@ -277,7 +277,7 @@
                 // Open jobs find their tasks themselves once somebody runs them.
                 Some(record) if record.outcome.is_none() => self.keep_ended(*job),
                 Some(record) => {
-                    self.remember(view_of_record(record, Vec::new()));
+                    self.remember_finished(view_of_record(record, Vec::new()));
                     self.end_orphans(*job);
                 }
                 None => self.end_orphans(*job),
@@ -358,9 +358,9 @@
             StoreOp::Commit => self.on_commit_reply(&reply),
             StoreOp::Follow => self.on_follow(reply),
             StoreOp::Edit(ticket, edit) => self.on_edit_reply(ticket, edit, reply),
-            StoreOp::Question(ticket) => self.on_store_answer(ticket, reply),
-            StoreOp::List { whole } => self.on_list(whole, reply),
-            StoreOp::KeepBody(job) => self.on_body_kept(job, &reply),
+            StoreOp::Query(ticket) => self.on_store_answer(ticket, reply),
+            StoreOp::List { all_zones } => self.on_list(all_zones, reply),
+            StoreOp::StoreBody(job) => self.on_body_stored(job, &reply),
             StoreOp::LoadBody(job) => self.on_body_loaded(job, reply),
             StoreOp::Lookup(lookup) => self.on_looked_up(lookup, reply),
             StoreOp::SweepOpen => self.on_open_rows(reply),
--- a/crates/engine/src/wide.rs
+++ b/crates/engine/src/wide.rs
@@ -69,7 +69,7 @@
             }
         }
         for (holder, attempts) in elsewhere {
-            self.call_peer(PeerOp::Notice, &holder, PeerCall::Unreserve { attempts });
+            self.call_peer(PeerOp::Notification, &holder, PeerCall::Unreserve { attempts });
         }
         self.enqueue(id, gang.attempts);
     }
