--- a/crates/engine/src/adopt.rs
+++ b/crates/engine/src/adopt.rs
@@ -100,7 +100,7 @@
         worker: &WorkerId,
         token: Token,
     ) -> Option<Observation> {
-        self.holdings.token(self.now_ms, worker)?;
+        self.leases.token(self.now_ms, worker)?;
         let held = self.held.get_mut(worker)?;
         if let Some(known) = held.tasks.get(&attempt) {
             return Some(Observation::State(known.state.clone()));
@@ -266,7 +266,7 @@
         let listed = &self.worker_zones;
         self.missing_since.retain(|worker, _| !listed.contains_key(worker));
         let mut missing = Vec::new();
-        for (worker, _) in self.holdings.all() {
+        for (worker, _) in self.leases.all() {
             if !listed.contains_key(worker) {
                 missing.push(worker.clone());
             }
--- a/crates/engine/src/catalogue.rs
+++ b/crates/engine/src/catalogue.rs
@@ -32,7 +32,7 @@
 
 impl Engine {
     pub(crate) fn poll_catalogue(&mut self) {
-        if let Some(call) = self.follower.due(self.now_ms) {
+        if let Some(call) = self.catalogue_watcher.due(self.now_ms) {
             self.call_store(StoreOp::Follow, call);
         }
     }
@@ -43,7 +43,7 @@
             Ok(_) | Err(_) => None,
         };
         let before = self.catalogue.revision();
-        if let Some(call) = self.follower.on_rows(self.now_ms, &mut self.catalogue, rows) {
+        if let Some(call) = self.catalogue_watcher.on_rows(self.now_ms, &mut self.catalogue, rows) {
             self.call_store(StoreOp::Follow, call);
         }
         if self.catalogue.revision() > before {
@@ -82,7 +82,7 @@
             // Accepted means in force here at once where nothing lies between;
             // otherwise the missing changes are fetched without delay.
             if !self.catalogue.apply(change.clone()) {
-                self.follower.hurry();
+                self.catalogue_watcher.hurry();
             }
             self.announce_revision();
         }
--- a/crates/engine/src/dump.rs
+++ b/crates/engine/src/dump.rs
@@ -180,7 +180,7 @@
             stopping: self.stopping,
             catalogue: CatalogueDump {
                 revision: self.catalogue.revision(),
-                age_ms: self.now_ms.saturating_sub(self.follower.confirmed_ms()),
+                age_ms: self.now_ms.saturating_sub(self.catalogue_watcher.confirmed_ms()),
             },
             workers: self.dump_workers(),
             queues,
@@ -207,7 +207,7 @@
 
     fn dump_workers(&self) -> Vec<WorkerDump> {
         let mut workers = Vec::new();
-        for (worker, holding) in self.holdings.all() {
+        for (worker, holding) in self.leases.all() {
             let slot = self.scheduler.cell.worker_info(worker);
             let lease_left_ms = match holding.state {
                 HoldState::Mine { until_ms } => Some(until_ms.saturating_sub(self.now_ms)),
--- a/crates/engine/src/holders.rs
+++ b/crates/engine/src/holders.rs
@@ -51,8 +51,8 @@
             return;
         }
         self.leases_checked_ms = self.now_ms;
-        for worker in self.holdings.lapsed(self.now_ms) {
-            self.holdings.drop_lease(&worker);
+        for worker in self.leases.lapsed(self.now_ms) {
+            self.leases.drop_lease(&worker);
             self.drop_worker(&worker);
         }
     }
@@ -69,13 +69,13 @@
             let working = held.get(worker).is_some_and(|held| held.calling || held.has_work());
             working || minions.busy_on(worker) > 0
         };
-        for action in self.holdings.due(self.now_ms, &holders, only, busy) {
+        for action in self.leases.due(self.now_ms, &holders, only, busy) {
             self.send_lease_call(action);
         }
     }
 
     fn send_lease_call(&mut self, action: HoldAction) {
-        let ttl_ms = self.holdings.ttl_ms();
+        let ttl_ms = self.leases.ttl_ms();
         match action {
             HoldAction::Acquire { worker, token } => {
                 let call = WorkerCall::Acquire { holder: self.me.daemon.clone(), token, ttl_ms };
@@ -87,7 +87,7 @@
                 let call = WorkerCall::Renew {
                     token,
                     ttl_ms,
-                    wait_ms: self.holdings.wait_ms(),
+                    wait_ms: self.leases.wait_ms(),
                     since,
                     acknowledged: acknowledged.clone(),
                 };
@@ -126,7 +126,7 @@
         acknowledged: &[AttemptId],
         reply: Option<WorkerReply>,
     ) {
-        let event = self.holdings.on_reply(self.now_ms, worker, reply.as_ref());
+        let event = self.leases.on_reply(self.now_ms, worker, reply.as_ref());
         match (event, reply) {
             (HoldEvent::Gained, Some(WorkerReply::Granted { state, .. })) => {
                 self.gain_worker(&state);
@@ -320,7 +320,7 @@
         }
         for worker in ready {
             // The lease is looked at now, after any pause, not when the work was placed.
-            if let Some(token) = self.holdings.token(self.now_ms, &worker) {
+            if let Some(token) = self.leases.token(self.now_ms, &worker) {
                 self.call_one(&worker, token);
             }
         }
@@ -369,7 +369,7 @@
             }
             Ok(WorkerReply::NotHolder { token, .. }) => {
                 // Whether an earlier copy started is for the next holder to tell.
-                if self.holdings.on_fenced(worker, token) == HoldEvent::Lost {
+                if self.leases.on_fenced(worker, token) == HoldEvent::Lost {
                     self.drop_worker(worker);
                 }
             }
@@ -424,7 +424,7 @@
         match reply {
             Ok(WorkerReply::Stopped) => {}
             Ok(WorkerReply::NotHolder { token, .. }) => {
-                if self.holdings.on_fenced(worker, token) == HoldEvent::Lost {
+                if self.leases.on_fenced(worker, token) == HoldEvent::Lost {
                     self.drop_worker(worker);
                 }
             }
--- a/crates/engine/src/jobs.rs
+++ b/crates/engine/src/jobs.rs
@@ -151,7 +151,7 @@
                 self.stop_here(&task.worker, *victim, StopMode::Checkpoint);
                 evicted += 1;
             }
-            match self.holdings.token(self.now_ms, &task.worker) {
+            match self.leases.token(self.now_ms, &task.worker) {
                 Some(token) => placed.push((task.attempt, task.worker.clone(), token)),
                 None => unplaced.push(task.attempt),
             }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -96,7 +96,7 @@
     write_ids: u64,
 
     catalogue: Catalogue,
-    follower: Follow,
+    catalogue_watcher: Follow,
     applied_revision: u64,
     /// Whether shares of quotas have to be worked out anew.
     quota_shares_due: bool,
@@ -113,7 +113,7 @@
     worker_zones: HashMap<WorkerId, ZoneName>,
     missing_since: BTreeMap<WorkerId, UnixMs>,
 
-    holdings: Holdings,
+    leases: Holdings,
     held: BTreeMap<WorkerId, Held>,
     remote: Remote,
 
@@ -144,12 +144,12 @@
     /// A daemon that has just started.
     pub fn new(me: Identity, settings: Settings, now_ms: UnixMs) -> Self {
         let policy = Policy { reserve_ms: settings.queue.gang_reserve_ms, ..Policy::default() };
-        let leases = &settings.leases;
-        let holdings = Holdings::new(
+        let lease_settings = &settings.leases;
+        let leases = Holdings::new(
             me.daemon.clone(),
-            leases.ttl_ms,
-            leases.renew_wait_ms,
-            leases.moves_per_second,
+            lease_settings.ttl_ms,
+            lease_settings.renew_wait_ms,
+            lease_settings.moves_per_second,
         );
         let members = Members::new(me.clone(), settings.membership.silent_after_ms, now_ms);
         let seed = format!("{}/{}", me.daemon, me.incarnation);
@@ -160,7 +160,7 @@
             ops: Ops::default(),
             write_ids: xxh3_64(seed.as_bytes()),
             catalogue: Catalogue::default(),
-            follower: Follow::new(settings.catalogue.poll_ms),
+            catalogue_watcher: Follow::new(settings.catalogue.poll_ms),
             applied_revision: 0,
             quota_shares_due: false,
             retargeting: BTreeMap::new(),
@@ -174,7 +174,7 @@
             instance_list_read_ms: 0,
             worker_zones: HashMap::new(),
             missing_since: BTreeMap::new(),
-            holdings,
+            leases,
             held: BTreeMap::new(),
             remote: Remote::default(),
             scheduler: Scheduler::new(policy),
@@ -233,7 +233,7 @@
     /// Whether callers and operators can be served: the catalogue is known, be
     /// it that there is none yet.
     pub fn is_ready(&self) -> bool {
-        let known = self.catalogue.revision() > 0 || self.follower.confirmed_ms() > 0;
+        let known = self.catalogue.revision() > 0 || self.catalogue_watcher.confirmed_ms() > 0;
         !self.stopping && known
     }
 
--- a/crates/engine/src/ops.rs
+++ b/crates/engine/src/ops.rs
@@ -129,7 +129,7 @@
     }
 
     pub(crate) fn call_worker(&mut self, purpose: WorkerOp, worker: &WorkerId, call: WorkerCall) {
-        let Some(holding) = self.holdings.get(worker) else {
+        let Some(holding) = self.leases.get(worker) else {
             return;
         };
         let address = holding.address.clone();
--- a/crates/engine/src/peers.rs
+++ b/crates/engine/src/peers.rs
@@ -168,7 +168,7 @@
             }
             PeerCall::Changed { revision } => {
                 if revision > self.catalogue.revision() {
-                    self.follower.hurry();
+                    self.catalogue_watcher.hurry();
                     self.poll_catalogue();
                 }
                 PeerReply::Noted
@@ -284,7 +284,7 @@
         }
         self.worker_zones = zones;
         self.note_gone(whole);
-        self.holdings.on_list(workers);
+        self.leases.on_list(workers);
     }
 
     /// Where a daemon's peers reach it.
--- a/crates/engine/src/remote.rs
+++ b/crates/engine/src/remote.rs
@@ -247,7 +247,7 @@
             let Some(placed) = self.scheduler.place_task(self.now_ms, &waiting, *attempt) else {
                 break;
             };
-            let Some(token) = self.holdings.token(self.now_ms, &placed.worker) else {
+            let Some(token) = self.leases.token(self.now_ms, &placed.worker) else {
                 self.scheduler.release_unstarted(self.now_ms, *attempt);
                 break;
             };
--- a/crates/engine/src/stop.rs
+++ b/crates/engine/src/stop.rs
@@ -31,7 +31,7 @@
         let jobs_done = self.jobs.values().all(|job| !successor && !job.machine.is_writing());
         let idle = self.committer.backlog() == 0 && self.ops.minion.is_empty();
         let released =
-            self.holdings.held() == 0 || !successor && self.held.values().all(|held| !held.calling);
+            self.leases.held() == 0 || !successor && self.held.values().all(|held| !held.calling);
         self.stopped = requests_done && (jobs_done || self.jobs.is_empty()) && idle && released;
     }
 
--- a/crates/engine/src/sweep.rs
+++ b/crates/engine/src/sweep.rs
@@ -215,7 +215,7 @@
         let mut job = Job::new(machine, body);
         // The new holders of the dead daemon's workers need this long to know
         // what runs there.
-        let settled_ms = self.now_ms + self.holdings.ttl_ms();
+        let settled_ms = self.now_ms + self.leases.ttl_ms();
         job.discovery_due_ms = Some(settled_ms);
         job.inquire_not_before_ms = settled_ms;
         job.accept_until_ms = UnixMs::MAX / 2;
--- a/crates/engine/src/wide.rs
+++ b/crates/engine/src/wide.rs
@@ -27,7 +27,7 @@
             let Some(found) = self.scheduler.place_task(self.now_ms, waiting, *attempt) else {
                 break;
             };
-            if let Some(token) = self.holdings.token(self.now_ms, &found.worker) {
+            if let Some(token) = self.leases.token(self.now_ms, &found.worker) {
                 placed.push((*attempt, found.worker, token));
             } else {
                 self.scheduler.release_unstarted(self.now_ms, *attempt);
