--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of an engine, and what daemons say to each other.
+//! Events and effects of the engine, and the calls and replies between daemons.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -36,132 +36,132 @@
 use stoatwell_platform::WorkerCall;
 use stoatwell_platform::WorkerReply;
 
-/// Names a caller that waits for an answer.
+/// Identifies a caller that waits for an answer.
 pub type Ticket = u64;
-/// Names a call whose result comes back as an event.
+/// Identifies a call whose result comes back as an event.
 pub type OpId = u64;
 
-/// Who asks.
+/// The origin of a call, which decides what it may access.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Caller {
-    /// Somebody who may do everything.
+    /// An operator, who has access to everything.
     Operator,
-    /// A customer, for its own work only.
+    /// A customer, who has access to its own work only.
     Owner(OwnerName),
 }
 
-/// Something that happened.
+/// An input of the engine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Some time passed.
+    /// Time passed.
     Tick,
-    /// Work was submitted.
+    /// A caller submitted work.
     Submit {
-        /// Who waits.
+        /// Identifies the answer.
         ticket: Ticket,
-        /// Who asks.
+        /// Who submitted it.
         caller: Caller,
         /// The caller's idempotency key.
         key: String,
         /// The work.
         submission: Submission,
-        /// How long to wait for the outcome.
+        /// How long to wait for the outcome before answering without it.
         wait_ms: u64,
     },
-    /// Somebody asks how a job is.
+    /// A caller queries the state of a job.
     Status {
-        /// Who waits.
+        /// Identifies the answer.
         ticket: Ticket,
         /// Who asks.
         caller: Caller,
-        /// The job.
+        /// The job to look up.
         job: JobId,
-        /// How long to wait for the outcome.
+        /// How long to wait for the outcome before answering without it.
         wait_ms: u64,
     },
-    /// Somebody wants a job no more.
+    /// A caller cancels a job.
     Cancel {
-        /// Who waits.
+        /// Identifies the answer.
         ticket: Ticket,
         /// Who asks.
         caller: Caller,
-        /// The job.
+        /// The job to cancel.
         job: JobId,
     },
     /// An operator changes the catalogue.
     Edit {
-        /// Who waits.
+        /// Identifies the answer.
         ticket: Ticket,
-        /// The item.
+        /// Key of the catalogue item.
         key: String,
         /// The change.
         edit: EditKind,
-        /// The revision that the item must have.
+        /// The revision that the item must have; 0 if it must be new, `None` for any.
         expected: Option<u64>,
-        /// Who asks.
+        /// The author of the change, recorded with it.
         by: String,
     },
-    /// Somebody asks the store through this daemon.
+    /// A caller reads from the store through this daemon.
     Store {
-        /// Who waits.
+        /// Identifies the answer.
         ticket: Ticket,
-        /// The question.
+        /// The call, forwarded as it is.
         call: StoreCall,
     },
-    /// Another daemon calls.
+    /// A call from another daemon.
     Peer {
-        /// Who waits.
+        /// Identifies the reply.
         ticket: Ticket,
         /// The call.
         call: PeerCall,
     },
-    /// The store answered, or did not.
+    /// The result of [`Effect::Store`].
     StoreDone {
-        /// The call.
+        /// The id from the effect.
         op: OpId,
-        /// Its result.
+        /// The reply, or why there is none.
         reply: Result<StoreReply, CallError>,
     },
-    /// A worker answered, or did not.
+    /// The result of [`Effect::Worker`].
     WorkerDone {
-        /// The call.
+        /// The id from the effect.
         op: OpId,
-        /// Its result.
+        /// The reply, or why there is none.
         reply: Result<WorkerReply, CallError>,
     },
-    /// A minion answered, or did not.
+    /// The result of [`Effect::Minion`].
     MinionDone {
-        /// The call.
+        /// The id from the effect.
         op: OpId,
-        /// Its result.
+        /// The reply, or why there is none.
         reply: Result<MinionReply, CallError>,
     },
-    /// A peer answered, or did not.
+    /// The result of [`Effect::Peer`].
     PeerDone {
-        /// The call.
+        /// The id from the effect.
         op: OpId,
-        /// Its result.
+        /// The reply, or why there is none.
         reply: Result<PeerReply, CallError>,
     },
-    /// A planned stop begins.
+    /// A planned shutdown begins.
     Stop,
 }
 
-/// Something to do.
+/// An output of the engine, to be executed by the daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Call the store.
     Store {
-        /// Names the call.
+        /// Id for the result event.
         op: OpId,
         /// The call.
         call: StoreCall,
     },
     /// Call a worker.
     Worker {
-        /// Names the call.
+        /// Id for the result event.
         op: OpId,
-        /// The worker.
+        /// The worker to call.
         worker: WorkerId,
         /// IP and port.
         address: String,
@@ -170,9 +170,9 @@
     },
     /// Call a minion.
     Minion {
-        /// Names the call.
+        /// Id for the result event.
         op: OpId,
-        /// The minion.
+        /// The minion to call.
         minion: MinionId,
         /// IP and port.
         address: String,
@@ -181,242 +181,242 @@
     },
     /// Call another daemon.
     Peer {
-        /// Names the call.
+        /// Id for the result event.
         op: OpId,
         /// IP and port.
         address: String,
         /// The call.
         call: PeerCall,
-        /// How long its answer is awaited.
+        /// How long to wait for the reply.
         timeout_ms: u64,
     },
-    /// Answer somebody who waits.
+    /// Answer a waiting caller.
     Answer {
-        /// Who waits.
+        /// The ticket from the event that asked.
         ticket: Ticket,
         /// The answer.
         answer: Answer,
     },
 }
 
-/// An answer to somebody who waits.
+/// An answer to a waiting caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// How a job is.
+    /// The state of a job, or why it was refused.
     Job(Result<JobView, Failure>),
-    /// A change that was made.
+    /// The catalogue change that was made, or why it was refused.
     Edited(Result<Change, Failure>),
-    /// What the store said.
+    /// The reply of the store.
     Store(Result<StoreReply, CallError>),
-    /// To another daemon.
+    /// The reply to a call from another daemon.
     Peer(PeerReply),
 }
 
-/// What one daemon asks of another.
+/// A call from one daemon to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerCall {
-    /// I am here; the answer is the same from the other side.
+    /// The sender is alive; the reply is a heartbeat of the receiver.
     Heartbeat {
-        /// The sender.
+        /// The sender's own state.
         beat: Heartbeat,
-        /// What the sender knows of zones that the receiver does not hear itself.
+        /// What the sender knows about zones other than the receiver's.
         news: Vec<ZoneUpdate>,
     },
-    /// What changed in the catalogue since this revision?
+    /// Requests the catalogue changes since a revision.
     CatalogueSince {
-        /// The sender's revision.
+        /// The sender's current revision.
         revision: u64,
     },
-    /// The catalogue has this revision now.
+    /// Announces a new catalogue revision, which the receiver fetches from the store.
     Changed {
-        /// The revision.
+        /// The newest revision that the sender knows.
         revision: u64,
     },
-    /// Take this work, which I cannot run.
+    /// Forwards a submission that the sender cannot run.
     Submit(SubmitCall),
-    /// How is this job?
+    /// Queries the state of a job that the receiver coordinates.
     Status {
-        /// The job.
+        /// The job to look up.
         job: JobId,
-        /// How long to wait for its outcome.
+        /// How long to wait for its outcome before answering without it.
         wait_ms: u64,
     },
-    /// Cancel this job.
+    /// Cancels a job that the receiver coordinates.
     Cancel {
-        /// The job.
+        /// The job to cancel.
         job: JobId,
     },
-    /// Set room aside on your workers for tasks that I run.
+    /// Reserves capacity on the receiver's workers for tasks of a job of the sender.
     Reserve {
-        /// The job they belong to.
+        /// The job that the tasks belong to.
         meta: JobMeta,
-        /// The attempts.
+        /// The attempts to reserve capacity for.
         attempts: Vec<AttemptId>,
     },
-    /// Give back room that was set aside.
+    /// Releases reservations that the sender does not use.
     Unreserve {
-        /// The attempts.
+        /// The attempts whose reservations are released.
         attempts: Vec<AttemptId>,
     },
-    /// Start tasks on the room set aside.
+    /// Starts tasks on reserved capacity.
     Start {
-        /// Each with its worker and the token of the reservation.
+        /// Each task with the worker and the fencing token of its reservation.
         tasks: Vec<(WorkerId, Token, StartTask)>,
     },
-    /// Stop tasks on your workers.
+    /// Stops tasks on the receiver's workers.
     Stop {
-        /// The attempts.
+        /// The attempts to stop.
         attempts: Vec<(AttemptId, WorkerId)>,
-        /// How.
+        /// Whether to stop them at once, with a checkpoint, or only to throttle them.
         mode: StopMode,
     },
-    /// What became of these attempts? Whoever holds their worker knows.
+    /// Asks what became of attempts on workers that the receiver holds.
     Inquire {
-        /// Who runs their job now and hears of them from now on.
+        /// The daemon that coordinates the job now and gets later reports.
         coordinator: DaemonId,
-        /// Each with its worker and the token of its intent.
+        /// Each attempt with its worker and the fencing token of its intent.
         attempts: Vec<(AttemptId, WorkerId, Token)>,
     },
-    /// Which attempts of these jobs are on your workers?
+    /// Asks which attempts of jobs are on the receiver's workers.
     Find {
-        /// Who runs the jobs now and hears of them from now on.
+        /// The daemon that coordinates the jobs now and gets later reports.
         coordinator: DaemonId,
-        /// The jobs.
+        /// The jobs whose attempts are searched for.
         jobs: Vec<JobId>,
     },
-    /// What became of tasks that you run, on workers that I hold.
+    /// Reports what became of tasks of the receiver's jobs on workers that the sender holds.
     Report {
-        /// The sender.
+        /// The sending daemon.
         from: DaemonId,
-        /// What was seen.
+        /// The latest observation of each attempt.
         reports: Vec<(AttemptId, WorkerId, Observation)>,
     },
-    /// The outcome is durable; the workers may forget these.
+    /// The outcome is durable, so the workers may forget these attempts.
     Acknowledge {
-        /// The attempts.
+        /// Each attempt with its worker.
         attempts: Vec<(AttemptId, WorkerId)>,
     },
-    /// I stop; these jobs are yours to take.
+    /// The sender shuts down and hands these jobs to the receiver.
     Adopt {
-        /// The jobs.
+        /// The jobs, whose records already name the receiver.
         jobs: Vec<JobId>,
     },
 }
 
-/// What one daemon answers another.
+/// The reply of one daemon to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// The same from the other side.
+    /// The heartbeat of the receiver.
     Heartbeat {
-        /// The answerer.
+        /// The receiver's own state.
         beat: Heartbeat,
-        /// What it knows of other zones.
+        /// An update about the receiver's zone, for a sender in another zone.
         news: Vec<ZoneUpdate>,
     },
-    /// What changed.
+    /// The catalogue changes that were requested.
     News(News),
-    /// How a job is.
+    /// The state of a job, or why it was refused.
     Job(Result<JobView, Failure>),
-    /// Room that was set aside.
+    /// The reservations that were made.
     Reserved {
-        /// For each attempt that got room.
+        /// One for each attempt that got capacity; the others got none.
         reservations: Vec<Reservation>,
     },
-    /// For each attempt, what became of it; nothing for those of other holders.
+    /// What became of each attempt; those on workers of other holders are left out.
     Tasks(Vec<TaskReply>),
-    /// Attempts that the sender need not report again.
+    /// The reports that arrived.
     Acknowledged {
-        /// The attempts.
+        /// Attempts that need not be reported again.
         attempts: Vec<AttemptId>,
-        /// Attempts of jobs that the receiver does not run.
+        /// Attempts of jobs that the replying daemon does not coordinate.
         unknown: Vec<AttemptId>,
     },
-    /// Taken note of.
+    /// The call was received; there is nothing to return.
     Noted,
 }
 
-/// Work that another daemon was asked to take.
+/// A submission that is forwarded to another daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SubmitCall {
-    /// Whose work it is.
+    /// The customer that owns the work.
     pub owner: OwnerName,
     /// The caller's idempotency key.
     pub key: String,
     /// The work.
     pub submission: Submission,
-    /// How long to wait for the outcome.
+    /// How long to wait for the outcome before answering without it.
     pub wait_ms: u64,
 }
 
-/// What the holder of a worker needs to know of a job.
+/// What the holder of a worker needs to know about a job in order to place its tasks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobMeta {
-    /// The job.
+    /// The job's id.
     pub job: JobId,
-    /// Whose it is.
+    /// The customer that owns it.
     pub owner: OwnerName,
-    /// Its entry.
+    /// The catalogue entry that it runs.
     pub entry: EntryName,
-    /// Its class.
+    /// The class of its entry.
     pub class: Class,
-    /// Its promise.
+    /// The execution guarantee.
     pub execution: Execution,
-    /// Its urgency.
+    /// The urgency of its entry.
     pub urgency: Urgency,
-    /// What one task is declared to need.
+    /// The declared demand of one task.
     pub demand: Resources,
-    /// When it was accepted.
+    /// When the job was accepted.
     pub accepted_ms: UnixMs,
 }
 
-/// Room set aside on a worker of another daemon.
+/// Capacity reserved on a worker of another daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reservation {
-    /// The attempt it is for.
+    /// The attempt that may use it.
     pub attempt: AttemptId,
-    /// The worker.
+    /// The worker with the capacity.
     pub worker: WorkerId,
-    /// The token under which it may start.
+    /// The fencing token for the start.
     pub token: Token,
-    /// How much.
+    /// The amount reserved.
     pub demand: Resources,
 }
 
-/// What the holder of a worker saw of an attempt.
+/// What the holder of a worker observed of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Observation {
-    /// The worker reports it so.
+    /// The state that the worker reports.
     State(TaskState),
-    /// It never started and never will.
+    /// The attempt never started and never will.
     Absent,
-    /// Whether it started is not known yet.
+    /// It is not known yet whether the attempt started.
     Pending,
-    /// The worker lost its memory; nothing can tell.
+    /// The worker lost its state, so what became of the attempt cannot be found out.
     Forgotten,
 }
 
-/// What became of one attempt.
+/// An observation of one attempt on one worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskReply {
-    /// The attempt.
+    /// The attempt that was asked about.
     pub attempt: AttemptId,
-    /// Its worker.
+    /// The worker it was placed on.
     pub worker: WorkerId,
-    /// What was seen.
+    /// What the worker's holder observed.
     pub seen: Observation,
 }
 
-/// What is known of another zone, in short.
+/// A short update about a zone, passed between daemons.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZoneUpdate {
-    /// The zone.
+    /// The zone that it describes.
     pub zone: ZoneName,
-    /// How old this is.
+    /// Age of the information when it was sent.
     pub age_ms: u64,
-    /// Its daemons that are alive.
+    /// The live daemons of the zone.
     pub daemons: Vec<Identity>,
-    /// The newest catalogue revision there.
+    /// The newest catalogue revision known in the zone.
     pub revision: u64,
-    /// What all its workers together can take.
+    /// Load and capacity of all workers of the zone together.
     pub summary: Summary,
 }
