--- a/crates/engine/src/catalogue.rs
+++ b/crates/engine/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! Following the catalogue, changing it, and putting it in force here.
+//! Polling the catalogue, editing it, and applying it on this daemon.
 
 use std::collections::HashMap;
 
@@ -27,26 +27,26 @@
 use crate::ops::PeerOp;
 use crate::ops::StoreOp;
 
-/// Before another try at writing that a target is empty.
+/// Delay before the write that a target is empty is retried.
 const EMPTIED_RETRY_MS: u64 = 2_000;
 
 impl Engine {
     pub(crate) fn poll_catalogue(&mut self) {
         if let Some(call) = self.catalogue_watcher.due(self.now_ms) {
-            self.call_store(StoreOp::Follow, call);
+            self.call_store(StoreOp::PollCatalogue, call);
         }
     }
 
-    pub(crate) fn on_follow(&mut self, reply: Result<StoreReply, CallError>) {
+    pub(crate) fn on_catalogue_reply(&mut self, reply: Result<StoreReply, CallError>) {
         let rows = match reply {
             Ok(StoreReply::Rows { rows }) => Some(rows),
             Ok(_) | Err(_) => None,
         };
-        let before = self.catalogue.revision();
+        let old_revision = self.catalogue.revision();
         if let Some(call) = self.catalogue_watcher.on_rows(self.now_ms, &mut self.catalogue, rows) {
-            self.call_store(StoreOp::Follow, call);
+            self.call_store(StoreOp::PollCatalogue, call);
         }
-        if self.catalogue.revision() > before {
+        if self.catalogue.revision() > old_revision {
             self.announce_revision();
         }
     }
@@ -79,8 +79,8 @@
             EditStep::Done(result) => result,
         };
         if let Ok(change) = &result {
-            // Accepted means in force here at once where nothing lies between;
-            // otherwise the missing changes are fetched without delay.
+            // An accepted change is applied here at once if no revision is missing
+            // in between; otherwise the missing changes are fetched without delay.
             if !self.catalogue.apply(change.clone()) {
                 self.catalogue_watcher.hurry();
             }
@@ -91,21 +91,22 @@
         }
     }
 
-    /// Lets peers fetch a change at once instead of at their next poll.
+    /// Notifies peers that are behind, so that they fetch the change at once instead
+    /// of at their next poll.
     pub(crate) fn announce_revision(&mut self) {
         let revision = self.catalogue.revision();
-        let mut behind = Vec::new();
+        let mut outdated = Vec::new();
         for member in self.members.live(self.now_ms) {
             if member.revision < revision {
-                behind.push(member.identity.daemon.clone());
+                outdated.push(member.identity.daemon.clone());
             }
         }
-        for daemon in behind {
+        for daemon in outdated {
             self.call_peer(PeerOp::Notification, &daemon, PeerCall::Changed { revision });
         }
     }
 
-    /// Puts a new revision in force: targets, quotas and weights.
+    /// Applies the targets, quotas and weights of a new catalogue revision.
     pub(crate) fn apply_catalogue(&mut self) {
         if self.applied_revision == self.catalogue.revision() {
             return;
@@ -127,71 +128,72 @@
         if let Some(target) = &target
             && target.state != TargetState::Serving
         {
-            self.clear_target(worker);
+            self.evict_from_target(worker);
         }
     }
 
-    /// Each owner gets the part of its quota here that its workers here are of
-    /// all its workers, and its entries that part of their running tasks, so that
-    /// the parts never add up to more than the whole.
-    pub(crate) fn apply_shares(&mut self) {
+    /// Gives each owner a local share of its quota, in proportion to how many of
+    /// its serving targets are held here, and its work entries a share of their
+    /// limit on running tasks. The shares of all daemons never add up to more
+    /// than the whole.
+    pub(crate) fn apply_quota_shares(&mut self) {
         if !self.quota_shares_due {
             return;
         }
         self.quota_shares_due = false;
-        // Serving targets of each owner by rank, and the ranks that are held here.
-        let mut all: HashMap<&OwnerName, u64> = HashMap::new();
-        let mut here: HashMap<&OwnerName, Vec<u64>> = HashMap::new();
+        // The number of serving targets of each owner, and the ranks of those held here.
+        let mut serving_counts: HashMap<&OwnerName, u64> = HashMap::new();
+        let mut held_ranks: HashMap<&OwnerName, Vec<u64>> = HashMap::new();
         for target in self.catalogue.targets() {
             if target.state != TargetState::Serving {
                 continue;
             }
-            let rank = all.entry(&target.owner).or_default();
+            let rank = serving_counts.entry(&target.owner).or_default();
             if self.held.contains_key(&target.worker) {
-                here.entry(&target.owner).or_default().push(*rank);
+                held_ranks.entry(&target.owner).or_default().push(*rank);
             }
             *rank += 1;
         }
         for owner in self.catalogue.owners() {
-            let part = here.get(&owner.owner).map_or(0, Vec::len) as u64;
-            let whole = all.get(&owner.owner).copied().unwrap_or(0).max(1);
-            let quota = owner.quota.share(part, whole);
+            let held = held_ranks.get(&owner.owner).map_or(0, Vec::len) as u64;
+            let serving = serving_counts.get(&owner.owner).copied().unwrap_or(0).max(1);
+            let quota = owner.quota.share(held, serving);
             self.scheduler.set_owner(&owner.owner, Some(quota), owner.weights);
         }
         for work in self.catalogue.works() {
-            let ranks = here.get(&work.owner).map_or(&[][..], Vec::as_slice);
-            let whole = all.get(&work.owner).copied().unwrap_or(0);
-            let tasks = ranks_share(work.limits.running_tasks, ranks, whole);
-            self.scheduler.set_running_max(&work.name, tasks);
+            let ranks = held_ranks.get(&work.owner).map_or(&[][..], Vec::as_slice);
+            let serving = serving_counts.get(&work.owner).copied().unwrap_or(0);
+            let tasks_max = limit_for_ranks(work.limits.running_tasks, ranks, serving);
+            self.scheduler.set_running_max(&work.name, tasks_max);
         }
     }
 
-    /// Stops what must not stay on a target that is drained: services are
-    /// replaced elsewhere and patient batch work gives way with its progress
-    /// saved. Urgent work, gangs and what may run only once come to their end.
-    fn clear_target(&mut self, worker: &WorkerId) {
-        let Some(slot) = self.scheduler.cell.worker_info(worker) else {
+    /// Stops tasks that must not stay on a draining target: services are replaced
+    /// on other workers, and patient batch tasks are evicted with a checkpoint.
+    /// Urgent tasks, gangs and tasks that may run only once run to completion.
+    fn evict_from_target(&mut self, worker: &WorkerId) {
+        let Some(worker_info) = self.scheduler.cell.worker_info(worker) else {
             return;
         };
-        let mut moved = Vec::new();
-        for attempt in &slot.tasks {
+        let mut evicted = Vec::new();
+        for attempt in &worker_info.tasks {
             let Some(running) = self.scheduler.cell.running(*attempt) else {
                 continue;
             };
             let patient = running.is_evictable() && running.urgency == Urgency::Patient;
             if running.class == Class::Service || patient {
-                moved.push(*attempt);
+                evicted.push(*attempt);
             }
         }
-        for attempt in moved {
+        for attempt in evicted {
             self.stop_here(worker, attempt, StopMode::Checkpoint);
         }
     }
 
-    /// Hands over targets that were drained for another owner and are empty now.
-    pub(crate) fn empty_targets(&mut self) {
+    /// Hands targets that were drained for another owner to it once they are empty.
+    pub(crate) fn hand_over_drained_targets(&mut self) {
         let now_ms = self.now_ms;
-        self.retargeting.retain(|_, at_ms| now_ms < *at_ms + EMPTIED_RETRY_MS);
+        self.handover_sent_ms.retain(|_, sent_ms| now_ms < *sent_ms + EMPTIED_RETRY_MS);
         let mut emptied = Vec::new();
         for (worker, held) in &self.held {
             let Some(versioned) = self.catalogue.get(&target_key(worker)) else {
@@ -200,14 +202,15 @@
             let Some(target) = self.catalogue.target(worker) else {
                 continue;
             };
-            let leaves = target.state == TargetState::Draining && target.next_owner.is_some();
+            let awaits_handover =
+                target.state == TargetState::Draining && target.next_owner.is_some();
             let empty = held.is_empty() && self.minions.in_use_on(worker) == 0;
-            if leaves && empty && !self.retargeting.contains_key(worker) {
+            if awaits_handover && empty && !self.handover_sent_ms.contains_key(worker) {
                 emptied.push((worker.clone(), versioned.revision));
             }
         }
         for (worker, revision) in emptied {
-            self.retargeting.insert(worker.clone(), now_ms);
+            self.handover_sent_ms.insert(worker.clone(), now_ms);
             let write_id = self.next_write_id();
             let request = EditRequest {
                 key: target_key(&worker),
@@ -226,43 +229,44 @@
         self.call_store(StoreOp::Query(ticket), call);
     }
 
-    /// Whether some target that serves this owner, in any zone, could hold this much.
-    pub(crate) fn could_hold_anywhere(&self, owner: &OwnerName, need: &Resources) -> Option<bool> {
+    /// Whether some target that serves this owner, in any zone, is large enough for
+    /// `need`; `None` if such targets exist but no daemon has reported any yet.
+    pub(crate) fn could_fit_anywhere(&self, owner: &OwnerName, need: &Resources) -> Option<bool> {
         if self.scheduler.cell.could_fit(owner, need) {
             return Some(true);
         }
         let serving = self.catalogue.targets().filter(|target| target.serves(owner)).count();
-        let mut known = self.workers_serving(owner);
-        let near = self.members.live(self.now_ms).map(|member| &member.summary);
-        let far = self.zones.values().map(|zone| &zone.news.summary);
-        for summary in near.chain(far) {
-            for found in summary.owners.iter().filter(|found| found.owner == *owner) {
-                if found.largest.holds(need) {
+        let mut reported = self.workers_serving(owner);
+        let zone_peers = self.members.live(self.now_ms).map(|member| &member.summary);
+        let other_zones = self.zones.values().map(|zone| &zone.news.summary);
+        for summary in zone_peers.chain(other_zones) {
+            for entry in summary.owners.iter().filter(|entry| entry.owner == *owner) {
+                if entry.largest.holds(need) {
                     return Some(true);
                 }
-                known += 1;
+                reported += 1;
             }
         }
-        // Nobody has told of workers for this owner yet, though there are some.
-        if known == 0 && serving > 0 {
+        // The catalogue has targets for this owner, but no daemon has reported them yet.
+        if reported == 0 && serving > 0 {
             return None;
         }
         Some(false)
     }
 
     fn workers_serving(&self, owner: &OwnerName) -> usize {
-        let here = self.held.keys().filter_map(|worker| self.catalogue.target(worker));
-        here.filter(|target| target.serves(owner)).count()
+        let held_targets = self.held.keys().filter_map(|worker| self.catalogue.target(worker));
+        held_targets.filter(|target| target.serves(owner)).count()
     }
 }
 
-/// The part of a limit that these targets of an owner have. Each target has an
-/// even part and the first ones one more, so the parts add up to the limit and
-/// a small limit is not rounded away everywhere.
-fn ranks_share(limit: u32, ranks: &[u64], targets: u64) -> u32 {
+/// The share of a limit for the targets of an owner that have these ranks. Each
+/// target gets an equal part, and the first ones get one more, so that the parts
+/// add up to the limit and a small limit is not rounded down to 0 everywhere.
+fn limit_for_ranks(limit: u32, ranks: &[u64], targets: u64) -> u32 {
     let limit = u64::from(limit);
-    let whole = targets.max(1);
-    let (base, more) = (limit / whole, limit % whole);
-    let sum: u64 = ranks.iter().map(|rank| base + u64::from(*rank < more)).sum();
+    let divisor = targets.max(1);
+    let (base, remainder) = (limit / divisor, limit % divisor);
+    let sum: u64 = ranks.iter().map(|rank| base + u64::from(*rank < remainder)).sum();
     u32::try_from(sum).unwrap_or(u32::MAX)
 }
--- a/crates/engine/src/commit.rs
+++ b/crates/engine/src/commit.rs
@@ -1,4 +1,4 @@
-//! Records on their way to the platform's table.
+//! Writes job records to the platform's table and handles the results.
 
 use stoatwell_ledger::CommitResult;
 use stoatwell_ledger::rows;
@@ -66,7 +66,7 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let first = !job.accepted;
+        let newly_accepted = !job.accepted;
         job.accepted = true;
         if job.handing_over {
             self.left(id);
@@ -74,7 +74,7 @@
         }
         let taken_over = job.discovery_due_ms.is_some();
         self.drive(id, |machine, now_ms| machine.on_written(now_ms, version));
-        if first {
+        if newly_accepted {
             self.on_accepted(id, taken_over);
         }
     }
@@ -89,14 +89,14 @@
         for (ticket, wait_ms) in acceptance_waiters {
             self.wait_for_outcome(id, ticket, wait_ms);
         }
-        // What was taken over looks for its running tasks first.
+        // A job that was taken over first looks for its tasks that already run.
         if !taken_over && !is_request && !waiting.is_empty() {
             self.enqueue(id, waiting);
         }
     }
 
-    /// Somebody else wrote the record: another daemon accepted the same key
-    /// first, or took the job over because this one seemed dead.
+    /// Another daemon wrote the record: it accepted the same key first, or took
+    /// the job over because this daemon seemed dead.
     pub(crate) fn on_conflict(&mut self, id: JobId, row: &str) {
         let Some(mut job) = self.jobs.remove(&id) else {
             return;
@@ -105,12 +105,14 @@
         self.remote.forget(id);
         self.drop_request_of(&job);
         let record: Option<JobRecord> = serde_json::from_str(row).ok();
-        let same = record
+        let same_content = record
             .as_ref()
             .is_some_and(|found| found.content_hash == job.machine.record.content_hash);
         for (ticket, wait_ms) in std::mem::take(&mut job.acceptance_waiters) {
             match &record {
-                Some(_) if !same => self.answer_job(ticket, Err(Failure::new(Code::KeyReused))),
+                Some(_) if !same_content => {
+                    self.answer_job(ticket, Err(Failure::new(Code::KeyReused)))
+                }
                 Some(found) => self.answer_from_record(ticket, found.clone(), wait_ms),
                 None => self.answer_job(ticket, Err(Failure::new(Code::Internal))),
             }
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Another daemon runs the job by now; this one had not noticed.
+    /// Drops a job that another daemon has taken over without this one noticing.
     pub(crate) fn abandon_job(&mut self, id: JobId, row: &str) {
         self.on_conflict(id, row);
     }
--- a/crates/engine/src/dump.rs
+++ b/crates/engine/src/dump.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows, for people who look into it.
+//! A snapshot of a daemon's state for operators, without secrets.
 
 use std::collections::BTreeMap;
 
@@ -18,156 +18,156 @@
 
 use crate::Engine;
 
-/// Jobs named one by one.
+/// Maximum number of jobs listed individually.
 const JOBS_SHOWN: usize = 50;
 
-/// The state of one daemon.
+/// A snapshot of the state of one daemon.
 #[derive(Debug, Serialize)]
 pub struct Dump {
-    /// Who it is.
+    /// The daemon's name, zone, region, peer address and incarnation.
     pub daemon: Identity,
-    /// Its clock.
+    /// The daemon's clock.
     pub now_ms: u64,
-    /// Whether it serves callers.
+    /// Whether it can serve callers and operators.
     pub ready: bool,
-    /// Whether it is about to stop.
+    /// Whether it is shutting down.
     pub stopping: bool,
-    /// The catalogue in force.
+    /// The catalogue that it knows.
     pub catalogue: CatalogueDump,
-    /// Workers of its zone.
+    /// Workers of its zone, whichever daemon holds them.
     pub workers: Vec<WorkerDump>,
-    /// Waiting work by entry, with the reasons of the first job.
+    /// The queue of each entry, with the reasons why its first job waits.
     pub queues: Vec<QueueDump>,
-    /// Jobs by state, and the first few of them.
+    /// Jobs that it coordinates.
     pub jobs: JobsDump,
-    /// Minions by group.
+    /// Slots of the minions on held workers, by minion group.
     pub minions: Vec<GroupSummary>,
-    /// Requests in work and waiting.
+    /// Requests without an outcome.
     pub requests: RequestsDump,
-    /// Other daemons.
+    /// Other daemons that it knows.
     pub peers: Vec<PeerDump>,
-    /// Milliseconds since other zones were heard.
+    /// Milliseconds since the last update from each other zone.
     pub zones_heard_ms: BTreeMap<ZoneName, u64>,
-    /// The platform's store as seen from here.
+    /// Access to the platform's store.
     pub store: StoreDump,
-    /// Decisions so far.
+    /// Counters of scheduling decisions since the daemon started.
     pub decisions: Counters,
-    /// The settings in force, without secrets.
+    /// The settings, without secrets.
     pub settings: Settings,
 }
 
-/// The catalogue in force.
+/// The catalogue that a daemon knows.
 #[derive(Debug, Serialize)]
 pub struct CatalogueDump {
-    /// Its revision.
+    /// The newest revision read from the store or from a peer.
     pub revision: u64,
-    /// Milliseconds since it was last seen to be the newest.
+    /// Milliseconds since the store last confirmed that this revision is the newest.
     pub age_ms: u64,
 }
 
-/// One worker of the zone.
+/// One worker of the daemon's zone.
 #[derive(Debug, Serialize)]
 pub struct WorkerDump {
-    /// The worker.
+    /// The worker's id.
     pub worker: WorkerId,
-    /// Whether this daemon holds it, and for how long still.
+    /// Remaining time of this daemon's lease; `None` if it does not hold the worker.
     pub lease_left_ms: Option<u64>,
-    /// The highest token seen.
+    /// The highest fencing token seen.
     pub token: u64,
-    /// What it holds in all.
+    /// Total capacity.
     pub capacity: Resources,
-    /// What new work can have.
+    /// Capacity that is available to new work.
     pub free: Resources,
-    /// What something else uses.
+    /// Resources used by other software on the worker.
     pub foreign: Resources,
-    /// Tasks on it.
+    /// Number of tasks placed on it.
     pub tasks: usize,
-    /// Whether it is left alone because it fails.
+    /// Whether no new tasks are placed on it because of failures.
     pub quarantined: bool,
 }
 
-/// Waiting work of one entry.
+/// The queue of one entry and urgency.
 #[derive(Debug, Serialize)]
 pub struct QueueDump {
-    /// The entry.
+    /// The name of the entry.
     pub entry: String,
-    /// Its urgency.
+    /// The urgency of the queued jobs.
     pub urgency: Urgency,
-    /// Jobs that wait.
+    /// Number of queued jobs.
     pub jobs: usize,
-    /// How long the first one has waited.
+    /// How long the first job has waited.
     pub front_waited_ms: u64,
-    /// Why the first one waits.
+    /// Why the first job waits.
     pub reasons: Vec<String>,
 }
 
-/// Jobs that run here.
+/// Jobs that a daemon coordinates.
 #[derive(Debug, Serialize)]
 pub struct JobsDump {
-    /// How many are in each state.
+    /// Number of jobs in each state.
     pub by_state: BTreeMap<String, usize>,
-    /// The first few.
-    pub some: Vec<JobLine>,
+    /// The first of them in the order of their ids.
+    pub some: Vec<JobDump>,
 }
 
-/// One job.
+/// One job that a daemon coordinates.
 #[derive(Debug, Serialize)]
-pub struct JobLine {
-    /// The job.
+pub struct JobDump {
+    /// The job's id.
     pub job: String,
-    /// Its entry.
+    /// The name of its entry.
     pub entry: String,
-    /// Where it stands.
+    /// The state that callers see.
     pub state: JobState,
-    /// Tasks by phase.
+    /// Number of tasks in each phase.
     pub tasks: BTreeMap<&'static str, usize>,
 }
 
-/// Requests in line.
+/// Requests without an outcome.
 #[derive(Debug, Serialize)]
 pub struct RequestsDump {
-    /// In work or waiting.
+    /// All requests, sent or waiting.
     pub all: usize,
-    /// Waiting for a slot.
+    /// Requests that wait for a free slot.
     pub waiting: usize,
-    /// Retries left in the budget.
+    /// Retries that the retry budget allows now.
     pub retries_left: u64,
 }
 
-/// Another daemon.
+/// What a daemon knows about another daemon.
 #[derive(Debug, Serialize)]
 pub struct PeerDump {
-    /// The daemon.
+    /// The daemon's name.
     pub daemon: DaemonId,
-    /// Its zone.
+    /// The availability zone it runs in.
     pub zone: ZoneName,
-    /// Its address.
+    /// IP and port for peer calls.
     pub address: String,
-    /// Milliseconds since its last word; none where it was never heard.
+    /// Milliseconds since its last heartbeat; `None` if none was ever received.
     pub heard_ms_ago: Option<u64>,
-    /// The catalogue revision it last told.
+    /// The catalogue revision in its last heartbeat.
     pub revision: u64,
-    /// Whether it is about to stop.
+    /// Whether its last heartbeat said that it is shutting down.
     pub stopping: bool,
 }
 
-/// The platform's store as seen from here.
+/// A daemon's access to the platform's store.
 #[derive(Debug, Serialize)]
 pub struct StoreDump {
-    /// Whether new work that needs it is refused.
+    /// Whether new work that has to be recorded is rejected.
     pub refusing: bool,
-    /// Writes that are not finished.
+    /// Writes that are queued or in flight.
     pub backlog: usize,
-    /// Counters.
+    /// Counters of transactions and their results.
     pub commits: CommitStats,
-    /// Milliseconds since the instance list was read.
+    /// Milliseconds since the instance list was last read.
     pub listed_ms_ago: u64,
-    /// Reports that other daemons have not taken.
+    /// Task reports that other daemons have not acknowledged yet.
     pub unreported: usize,
 }
 
 impl Engine {
-    /// All that this daemon knows, without secrets.
+    /// Takes a snapshot of the state of this daemon.
     pub fn dump(&mut self) -> Dump {
         let queues = self.dump_queues();
         let mut settings = self.settings.clone();
@@ -188,13 +188,13 @@
             minions: self.minions.summary(self.now_ms),
             requests: RequestsDump {
                 all: self.requests.len(),
-                waiting: self.waiting.len(),
-                retries_left: self.budget.left(),
+                waiting: self.request_queue.len(),
+                retries_left: self.retry_budget.left(),
             },
             peers: self.dump_peers(),
             zones_heard_ms: self.zones_heard(),
             store: StoreDump {
-                refusing: self.refuses_records(),
+                refusing: self.rejects_recorded_work(),
                 backlog: self.committer.backlog(),
                 commits: self.committer.stats(),
                 listed_ms_ago: self.now_ms.saturating_sub(self.instance_list_read_ms),
@@ -208,7 +208,7 @@
     fn dump_workers(&self) -> Vec<WorkerDump> {
         let mut workers = Vec::new();
         for (worker, holding) in self.leases.all() {
-            let slot = self.scheduler.cell.worker_info(worker);
+            let worker_info = self.scheduler.cell.worker_info(worker);
             let lease_left_ms = match holding.state {
                 HoldState::Mine { until_ms } => Some(until_ms.saturating_sub(self.now_ms)),
                 HoldState::Other => None,
@@ -217,11 +217,12 @@
                 worker: worker.clone(),
                 lease_left_ms,
                 token: holding.token,
-                capacity: slot.map_or(Resources::ZERO, |slot| slot.capacity),
-                free: slot.map_or(Resources::ZERO, stoatwell_placement::cell::WorkerInfo::free),
-                foreign: slot.map_or(Resources::ZERO, |slot| slot.foreign),
-                tasks: slot.map_or(0, |slot| slot.tasks.len()),
-                quarantined: slot
+                capacity: worker_info.map_or(Resources::ZERO, |worker_info| worker_info.capacity),
+                free: worker_info
+                    .map_or(Resources::ZERO, stoatwell_placement::cell::WorkerInfo::free),
+                foreign: worker_info.map_or(Resources::ZERO, |worker_info| worker_info.foreign),
+                tasks: worker_info.map_or(0, |worker_info| worker_info.tasks.len()),
+                quarantined: worker_info
                     .is_some_and(stoatwell_placement::cell::WorkerInfo::is_quarantined),
             });
         }
@@ -229,14 +230,20 @@
     }
 
     fn dump_queues(&mut self) -> Vec<QueueDump> {
-        let mut fronts = Vec::new();
-        for line in self.scheduler.queue.entry_queues() {
-            let waited_ms = self.now_ms.saturating_sub(line.front_accepted_ms());
-            let jobs = self.scheduler.queue.job_count(&line.entry, line.urgency);
-            fronts.push((line.entry.clone(), line.urgency, jobs, waited_ms, line.front(1).next()));
+        let mut heads = Vec::new();
+        for queue in self.scheduler.queue.entry_queues() {
+            let waited_ms = self.now_ms.saturating_sub(queue.front_accepted_ms());
+            let jobs = self.scheduler.queue.job_count(&queue.entry, queue.urgency);
+            heads.push((
+                queue.entry.clone(),
+                queue.urgency,
+                jobs,
+                waited_ms,
+                queue.front(1).next(),
+            ));
         }
         let mut queues = Vec::new();
-        for (entry, urgency, jobs, front_waited_ms, front) in fronts {
+        for (entry, urgency, jobs, front_waited_ms, front) in heads {
             let reasons = front
                 .map(|job| self.scheduler.pending_reasons(self.now_ms, job))
                 .unwrap_or_default();
@@ -258,7 +265,7 @@
             let state = job.machine.state();
             *by_state.entry(state.to_string()).or_default() += 1;
             if some.len() < JOBS_SHOWN {
-                some.push(JobLine {
+                some.push(JobDump {
                     job: id.to_string(),
                     entry: job.machine.record.entry.to_string(),
                     state,
--- a/crates/engine/src/jobs.rs
+++ b/crates/engine/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Accepted work: carrying out what each job's machine asks for.
+//! Accepted jobs: executes the effects of each job's state machine.
 
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
 
 use crate::Engine;
 use crate::FINISHED_JOBS_MAX;
-use crate::TASKS_PER_PASS;
+use crate::TASKS_PER_CYCLE;
 use crate::message::Answer;
 use crate::message::Effect;
 use crate::message::Observation;
@@ -30,29 +30,31 @@
 use crate::message::Ticket;
 use crate::ops::PeerOp;
 
-/// One job that runs here.
+/// One job that this daemon coordinates.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) machine: JobMachine,
-    /// What to run; kept here also where the record names an object.
+    /// What to run; also set if the record stores the body as an object.
     pub(crate) body: String,
-    /// Whether its record is durable.
+    /// Whether the record is durable.
     pub(crate) accepted: bool,
-    /// Callers that wait for the acceptance, each with how long it then waits on.
+    /// Callers that wait for acceptance, each with the time it then waits for the outcome.
     pub(crate) acceptance_waiters: Vec<(Ticket, u64)>,
-    /// When those callers are told that nothing is known.
+    /// When the first write of the record is given up; a store timeout later the callers
+    /// that wait for acceptance are told that it is unknown.
     pub(crate) accept_until_ms: UnixMs,
-    /// Callers that wait for the outcome, each until a time.
+    /// Callers that wait for the outcome, each with its deadline.
     pub(crate) outcome_waiters: Vec<(Ticket, UnixMs)>,
-    /// Workers are not asked about its tasks before this time.
+    /// Earliest time for the next inquiry about its tasks.
     pub(crate) inquire_not_before_ms: UnixMs,
-    /// When a job that was taken over looks for its running tasks.
+    /// When a job that was taken over searches for its running tasks; `None` for others
+    /// and once the search began.
     pub(crate) discovery_due_ms: Option<UnixMs>,
-    /// Daemons that have yet to say which of its tasks they have.
+    /// Daemons that have not yet reported which of its tasks are on their workers.
     pub(crate) pending_discoveries: u32,
-    /// The request that it is, where its class is that.
+    /// The id of the open request, if its class is request.
     pub(crate) request: Option<u64>,
-    /// Whether it is being handed over to another daemon.
+    /// Whether the job is being handed over to another daemon.
     pub(crate) handing_over: bool,
 }
 
@@ -75,24 +77,24 @@
 }
 
 impl Engine {
-    /// Carries out what a machine asked for.
-    pub(crate) fn run(&mut self, id: JobId, effects: Vec<JobEffect>) {
+    /// Executes the effects that a job's state machine returned.
+    pub(crate) fn apply_effects(&mut self, id: JobId, effects: Vec<JobEffect>) {
         for effect in effects {
             match effect {
                 JobEffect::Enqueue(attempts) => self.enqueue(id, attempts),
-                JobEffect::Start(attempts) => self.start(id, &attempts),
-                JobEffect::Stop(attempts) => self.stop(id, &attempts),
+                JobEffect::Start(attempts) => self.start_attempts(id, &attempts),
+                JobEffect::Stop(attempts) => self.stop_attempts(id, &attempts),
                 JobEffect::Withdraw => {
                     self.scheduler.withdraw(id);
-                    self.drop_waiting_request(id);
+                    self.drop_unsent_request(id);
                 }
                 JobEffect::Write => self.write_job(id),
-                JobEffect::Finished => self.finish(id),
+                JobEffect::Finished => self.on_outcome_durable(id),
             }
         }
     }
 
-    /// Feeds one event to a job's machine and carries out the rest.
+    /// Applies one step to a job's state machine and executes the resulting effects.
     pub(crate) fn drive(
         &mut self,
         id: JobId,
@@ -103,7 +105,7 @@
             return;
         };
         let effects = step(&mut job.machine, now_ms);
-        self.run(id, effects);
+        self.apply_effects(id, effects);
     }
 
     pub(crate) fn enqueue(&mut self, id: JobId, attempts: Vec<AttemptId>) {
@@ -117,8 +119,8 @@
             self.requeue_request(id);
             return;
         }
-        // Room may have been asked elsewhere for what was placed here meanwhile;
-        // queued once more it would start on a second worker.
+        // While a reservation at a peer was pending, an attempt may have been placed
+        // here. Queuing it again would start it on a second worker.
         let machine = &job.machine;
         let attempts: Vec<AttemptId> =
             attempts.into_iter().filter(|attempt| machine.is_waiting(*attempt)).collect();
@@ -130,9 +132,9 @@
         self.schedule_due = true;
     }
 
-    /// Places what waits and starts it.
+    /// Runs one scheduling cycle and starts what was placed.
     pub(crate) fn schedule(&mut self) {
-        for decision in self.scheduler.schedule(self.now_ms, TASKS_PER_PASS) {
+        for decision in self.scheduler.schedule(self.now_ms, TASKS_PER_CYCLE) {
             match decision {
                 Decision::Start { job, tasks } => self.on_placed(job, tasks),
                 Decision::Expired { job, tasks } => {
@@ -156,7 +158,7 @@
                 None => unplaced.push(task.attempt),
             }
         }
-        // A lease that ran out just now; the task waits for another worker.
+        // The lease on the worker has just expired; the task waits for another worker.
         for attempt in unplaced {
             self.scheduler.release_unstarted(self.now_ms, attempt);
             self.enqueue(id, vec![attempt]);
@@ -165,22 +167,25 @@
             && let Some(first) = tasks.first()
         {
             let count = tasks.len();
-            let room = if evicted > 0 {
-                format!("after {evicted} patient tasks gave way")
+            let placement_note = if evicted > 0 {
+                format!("after {evicted} patient tasks were evicted")
             } else {
-                "which kept the least unused room".to_owned()
+                "which leaves the least unused capacity".to_owned()
             };
-            job.machine.note(format!("{count} tasks placed, the first on {} {room}", first.worker));
+            job.machine.note(format!(
+                "{count} tasks placed, the first on {} {placement_note}",
+                first.worker
+            ));
         }
         self.drive(id, |machine, now_ms| machine.on_placed(now_ms, &placed));
     }
 
-    fn start(&mut self, id: JobId, attempts: &[AttemptId]) {
+    fn start_attempts(&mut self, id: JobId, attempts: &[AttemptId]) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
         if job.machine.record.class == Class::Request {
-            self.ask_recorded(id);
+            self.send_recorded_request(id);
             return;
         }
         let record = &job.machine.record;
@@ -205,24 +210,24 @@
             };
             starts.push((worker, start));
         }
-        let mut absent = Vec::new();
+        let mut unsent = Vec::new();
         for (worker, start) in starts {
             let attempt = start.attempt;
             if self.remote.is_reserved(attempt) {
                 self.remote.start(worker, start);
             } else if !self.start_here(&worker, start) {
-                absent.push((attempt, worker));
+                unsent.push((attempt, worker));
             }
         }
         self.send_remote_starts();
-        // The worker was lost before the start was sent, so it did not start.
-        for (attempt, worker) in absent {
+        // The worker's lease was lost before the start was sent, so it did not start.
+        for (attempt, worker) in unsent {
             self.not_started(attempt);
             self.on_seen(attempt, &worker, Observation::Absent);
         }
     }
 
-    fn stop(&mut self, id: JobId, attempts: &[AttemptId]) {
+    fn stop_attempts(&mut self, id: JobId, attempts: &[AttemptId]) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
@@ -230,25 +235,25 @@
         for attempt in attempts {
             stops.extend(job.machine.worker_of(*attempt).map(|worker| (*attempt, worker)));
         }
-        let mut elsewhere = Vec::new();
+        let mut on_other_holders = Vec::new();
         for (attempt, worker) in stops {
             if !self.stop_here(&worker, attempt, StopMode::Stop) {
-                elsewhere.push((attempt, worker));
+                on_other_holders.push((attempt, worker));
             }
         }
-        if elsewhere.is_empty() {
+        if on_other_holders.is_empty() {
             return;
         }
-        // Only the holder of each worker acts on it.
-        let of = |(_, worker): &(AttemptId, WorkerId)| worker.clone();
-        for (peer, attempts) in self.by_daemon(&elsewhere, of) {
+        // Only the daemon that holds a worker can stop tasks on it.
+        let worker_of = |(_, worker): &(AttemptId, WorkerId)| worker.clone();
+        for (peer, attempts) in self.by_daemon(&on_other_holders, worker_of) {
             let call = PeerCall::Stop { attempts, mode: StopMode::Stop };
             self.call_peer(PeerOp::Notification, &peer, call);
         }
     }
 
-    /// The outcome is durable.
-    fn finish(&mut self, id: JobId) {
+    /// Answers the waiting callers and cleans up, now that the outcome is durable.
+    fn on_outcome_durable(&mut self, id: JobId) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
         };
@@ -261,17 +266,17 @@
         let attempts = job.machine.attempts_with_workers();
         self.remember_finished(view);
         self.end_orphans(id);
-        self.acknowledge_elsewhere(attempts);
+        self.acknowledge_at_holders(attempts);
     }
 
-    fn acknowledge_elsewhere(&mut self, mut attempts: BTreeMap<AttemptId, WorkerId>) {
+    fn acknowledge_at_holders(&mut self, mut attempts: BTreeMap<AttemptId, WorkerId>) {
         attempts.retain(|_, worker| !self.held.contains_key(worker));
         if attempts.is_empty() {
             return;
         }
         let attempts: Vec<(AttemptId, WorkerId)> = attempts.into_iter().collect();
-        let of = |(_, worker): &(AttemptId, WorkerId)| worker.clone();
-        for (peer, attempts) in self.by_daemon(&attempts, of) {
+        let worker_of = |(_, worker): &(AttemptId, WorkerId)| worker.clone();
+        for (peer, attempts) in self.by_daemon(&attempts, worker_of) {
             self.call_peer(PeerOp::Notification, &peer, PeerCall::Acknowledge { attempts });
         }
     }
@@ -288,7 +293,8 @@
         }
     }
 
-    /// Lets a caller wait for the outcome, or answers at once.
+    /// Lets a caller wait for the outcome; answers at once if `wait_ms` is 0 or the job
+    /// does not run here.
     pub(crate) fn wait_for_outcome(&mut self, id: JobId, ticket: Ticket, wait_ms: u64) {
         let until_ms = self.now_ms + wait_ms.min(self.settings.http.wait_max_ms);
         if wait_ms > 0
@@ -312,11 +318,11 @@
             {
                 unknown.extend(std::mem::take(&mut job.acceptance_waiters));
             }
-            let (over, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut job.outcome_waiters)
+            let (expired, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut job.outcome_waiters)
                 .into_iter()
                 .partition(|(_, until_ms)| *until_ms <= now_ms);
             job.outcome_waiters = waiting;
-            due.extend(over.into_iter().map(|(ticket, _)| (ticket, *id)));
+            due.extend(expired.into_iter().map(|(ticket, _)| (ticket, *id)));
         }
         for (ticket, _) in unknown {
             self.answer_job(ticket, Err(Failure::new(Code::AcceptanceUnknown).retry_after(1_000)));
@@ -327,11 +333,11 @@
         }
     }
 
-    /// How a job that runs here is.
+    /// The current state of a job that this daemon coordinates.
     pub(crate) fn view(&mut self, id: JobId) -> Option<JobView> {
-        let waits = self.scheduler.pending_reasons(self.now_ms, id);
+        let reasons = self.scheduler.pending_reasons(self.now_ms, id);
         let job = self.jobs.get(&id)?;
-        Some(job.machine.view(waits))
+        Some(job.machine.view(reasons))
     }
 
     pub(crate) fn answer_job(&mut self, ticket: Ticket, result: Result<JobView, Failure>) {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,13 +1,14 @@
-//! The whole decision logic of a daemon: events and time in, effects out.
+//! The decision logic of a daemon: events and the current time in, effects out.
 //!
-//! [`Engine::handle`] takes one event and the time and gives the calls to make
-//! and the answers to send. It never waits, reads no clock and draws no random
-//! numbers, so tests replay any schedule of failures by feeding it the same
-//! events. A thin shell carries the effects out and feeds the results back.
+//! [`Engine::handle`] takes one event and the current time and returns the calls
+//! to make and the answers to send. It never blocks, reads no clock and uses no
+//! random numbers, so tests can replay any schedule of failures by feeding it
+//! the same events. The daemon executes the effects and feeds their results back.
 //!
-//! The modules follow the duties of a daemon: [`holders`](crate) keeps leases
-//! on workers, `jobs` runs accepted work, `requests` answers through minions,
-//! `sweep` takes over what dead daemons left, `peers` talks to the others.
+//! Each module covers one responsibility of a daemon: [`worker_leases`](crate)
+//! keeps leases on workers, `jobs` runs accepted work, `requests` serves
+//! requests through minions, `sweep` takes over the jobs of dead daemons, and
+//! `peers` exchanges state with other daemons.
 
 mod adopt;
 mod catalogue;
@@ -78,14 +79,14 @@
 pub use crate::message::Ticket;
 pub use crate::message::ZoneUpdate;
 
-/// Finished jobs whose views are kept for callers that ask again.
+/// Finished jobs whose views are kept in memory for callers that ask again.
 const FINISHED_JOBS_MAX: usize = 4_096;
-/// Failed calls to the store in a row after which nothing new is written to it.
+/// Consecutive failed store calls after which work that has to be recorded is rejected.
 const STORE_FAILURES_MAX: u32 = 3;
-/// Tasks placed in one pass.
-const TASKS_PER_PASS: usize = 4_096;
+/// Maximum number of tasks placed in one scheduling cycle.
+const TASKS_PER_CYCLE: usize = 4_096;
 
-/// The state of one daemon.
+/// The state of one daemon, advanced by events.
 #[derive(Debug)]
 pub struct Engine {
     me: Identity,
@@ -93,14 +94,14 @@
     now_ms: UnixMs,
     effects: Vec<Effect>,
     ops: Ops,
-    write_ids: u64,
+    last_write_id: u64,
 
     catalogue: Catalogue,
     catalogue_watcher: Follow,
     applied_revision: u64,
-    /// Whether shares of quotas have to be worked out anew.
+    /// Whether the local shares of quotas and limits have to be recomputed.
     quota_shares_due: bool,
-    retargeting: BTreeMap<WorkerId, UnixMs>,
+    handover_sent_ms: BTreeMap<WorkerId, UnixMs>,
 
     members: Members,
     zones: BTreeMap<ZoneName, ZoneState>,
@@ -126,22 +127,22 @@
     finished_jobs: HashMap<JobId, JobView>,
     finished_order: VecDeque<JobId>,
     committer: Committer,
-    /// Calls to the store in a row that brought nothing.
+    /// Consecutive store calls that failed.
     store_failures: u32,
     sweep: Sweep,
 
     minions: Minions,
-    budget: RetryBudget,
+    retry_budget: RetryBudget,
     requests: BTreeMap<u64, Request>,
-    waiting: RequestQueue,
-    next_request: u64,
+    request_queue: RequestQueue,
+    next_request_id: u64,
 
     stopping: bool,
     stopped: bool,
 }
 
 impl Engine {
-    /// A daemon that has just started.
+    /// Creates the state of a daemon that has just started.
     pub fn new(me: Identity, settings: Settings, now_ms: UnixMs) -> Self {
         let policy = Policy { reserve_ms: settings.queue.gang_reserve_ms, ..Policy::default() };
         let lease_settings = &settings.leases;
@@ -158,12 +159,12 @@
             now_ms,
             effects: Vec::new(),
             ops: Ops::default(),
-            write_ids: xxh3_64(seed.as_bytes()),
+            last_write_id: xxh3_64(seed.as_bytes()),
             catalogue: Catalogue::default(),
             catalogue_watcher: Follow::new(settings.catalogue.poll_ms),
             applied_revision: 0,
             quota_shares_due: false,
-            retargeting: BTreeMap::new(),
+            handover_sent_ms: BTreeMap::new(),
             members,
             zones: BTreeMap::new(),
             telling: Telling::default(),
@@ -191,10 +192,10 @@
             store_failures: 0,
             sweep: Sweep::default(),
             minions: Minions::new(routing.breaker_failures, routing.breaker_open_ms),
-            budget: RetryBudget::new(routing.retry_permille),
+            retry_budget: RetryBudget::new(routing.retry_permille),
             requests: BTreeMap::new(),
-            waiting: RequestQueue::default(),
-            next_request: 0,
+            request_queue: RequestQueue::default(),
+            next_request_id: 0,
             stopping: false,
             stopped: false,
             me,
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Takes one event; gives what has to be done because of it.
+    /// Processes one event and returns the effects that the caller has to execute.
     pub fn handle(&mut self, now_ms: UnixMs, event: Event) -> Vec<Effect> {
         self.now_ms = self.now_ms.max(now_ms);
         self.check_leases(matches!(event, Event::Tick));
@@ -226,28 +227,28 @@
             Event::PeerDone { op, reply } => self.on_peer_done(op, reply),
             Event::Stop => self.on_stop(),
         }
-        self.pump();
+        self.run_pending_work();
         std::mem::take(&mut self.effects)
     }
 
-    /// Whether callers and operators can be served: the catalogue is known, be
-    /// it that there is none yet.
+    /// Whether callers and operators can be served: the daemon is not stopping
+    /// and has read the catalogue, even if the catalogue is still empty.
     pub fn is_ready(&self) -> bool {
         let known = self.catalogue.revision() > 0 || self.catalogue_watcher.confirmed_ms() > 0;
         !self.stopping && known
     }
 
-    /// Whether everything was handed over and the process may end.
+    /// Whether all work was handed over, so that the process may exit.
     pub fn is_stopped(&self) -> bool {
         self.stopped
     }
 
-    /// The catalogue in force.
+    /// The newest catalogue that this daemon has read.
     pub fn catalogue(&self) -> &Catalogue {
         &self.catalogue
     }
 
-    /// Who this daemon is.
+    /// The name, zone, region, peer address and incarnation of this daemon.
     pub fn identity(&self) -> &Identity {
         &self.me
     }
@@ -260,7 +261,7 @@
         self.expire_waiters();
         self.expire_requests();
         self.resolve_doubts();
-        self.empty_targets();
+        self.hand_over_drained_targets();
         self.report_to_coordinators();
         self.sweep_tick();
         self.reach_out();
@@ -269,10 +270,10 @@
         self.worker_calls_due = true;
     }
 
-    /// What follows from every event: placing, sending, committing.
-    fn pump(&mut self) {
+    /// Runs after every event: applies a new catalogue, schedules, sends and commits.
+    fn run_pending_work(&mut self) {
         self.apply_catalogue();
-        self.apply_shares();
+        self.apply_quota_shares();
         if self.schedule_due {
             self.schedule_due = false;
             self.schedule();
@@ -285,14 +286,14 @@
         self.commit();
     }
 
-    /// Whether work that has to be recorded is refused at once: the store has not
-    /// answered for a while, so waiting for it would end in an unknown.
-    fn refuses_records(&self) -> bool {
+    /// Whether work that has to be recorded is rejected at once: the store has not
+    /// answered for a while, so waiting for it would end in an unknown acceptance.
+    fn rejects_recorded_work(&self) -> bool {
         self.committer.refuses() || self.store_failures >= STORE_FAILURES_MAX
     }
 
     fn next_write_id(&mut self) -> u64 {
-        self.write_ids = self.write_ids.wrapping_add(1);
-        self.write_ids
+        self.last_write_id = self.last_write_id.wrapping_add(1);
+        self.last_write_id
     }
 }
--- a/crates/engine/src/ops.rs
+++ b/crates/engine/src/ops.rs
@@ -1,4 +1,4 @@
-//! Calls whose results are awaited, and what each is for.
+//! Calls that are in flight, with the purpose of each.
 
 use std::collections::HashMap;
 
@@ -21,10 +21,10 @@
 use crate::message::PeerCall;
 use crate::message::Ticket;
 
-/// Calls on their way.
+/// Calls whose result has not arrived yet, by the id that the result will carry.
 #[derive(Debug, Default)]
 pub(crate) struct Ops {
-    next: OpId,
+    last_id: OpId,
     pub(crate) store: HashMap<OpId, StoreOp>,
     pub(crate) worker: HashMap<OpId, WorkerOp>,
     pub(crate) minion: HashMap<OpId, MinionOp>,
@@ -34,92 +34,93 @@
 /// What a call to the store is for.
 #[derive(Debug)]
 pub(crate) enum StoreOp {
-    /// Writes of the committer.
+    /// Writes a transaction of the committer.
     Commit,
-    /// Following the catalogue.
-    Follow,
-    /// Changing the catalogue; without a ticket nobody waits.
+    /// Reads changes of the catalogue.
+    PollCatalogue,
+    /// Changes the catalogue; without a ticket no caller waits for the result.
     Edit(Option<Ticket>, Box<Edit>),
-    /// Passing somebody's question on.
+    /// Forwards a caller's query to the store.
     Query(Ticket),
-    /// The instance list: that of all zones or only of this one.
+    /// Reads the instance list of all zones, or of this zone only.
     List { all_zones: bool },
-    /// Keeping a large body before its job is recorded.
+    /// Stores a large body before its job is recorded.
     StoreBody(JobId),
-    /// Reading the large body of a job that was taken over.
+    /// Reads the large body of a job that was taken over.
     LoadBody(JobId),
-    /// Looking up a job that is not run here.
+    /// Looks up a job that another daemon coordinates.
     Lookup(Lookup),
-    /// Looking for jobs that nobody runs.
+    /// Scans open jobs for those without a live coordinator.
     SweepOpen,
-    /// Reading the records of such jobs.
+    /// Reads the records of jobs to take over.
     SweepRead,
-    /// Looking for finished jobs whose time is over.
+    /// Scans for finished jobs whose retention time is over.
     SweepDone,
-    /// Reading records of jobs whose tasks are here but whose coordinator is not known.
+    /// Reads the records of jobs that have tasks here but no known coordinator.
     SweepOrphans(Vec<JobId>),
-    /// Removing an object.
+    /// Deletes the stored body of a job.
     RemoveBody,
 }
 
 /// Why a job is looked up.
 #[derive(Debug)]
 pub(crate) enum Lookup {
-    /// Somebody asks how it is.
+    /// A caller asks for its state.
     Status { ticket: Ticket, caller: Caller, job: JobId, wait_ms: u64 },
-    /// Somebody wants it cancelled.
+    /// A caller cancels it.
     Cancel { ticket: Ticket, caller: Caller, job: JobId },
-    /// It may have been accepted before its share of traffic went back to the old system.
+    /// It may have been accepted before its share of traffic moved back to the old system.
     Resubmission { ticket: Ticket, key: String, submission: Submission, wait_ms: u64 },
 }
 
 /// What a call to a worker is for.
 #[derive(Debug)]
 pub(crate) enum WorkerOp {
-    /// Its lease; with the attempts that a renewal lets it forget.
+    /// Acquires, renews or releases its lease. The attempts are those that a renewal
+    /// allows the worker to forget.
     Lease(WorkerId, Vec<AttemptId>),
-    /// Starting these.
+    /// Starts these tasks.
     Start(WorkerId, Vec<StartTask>),
-    /// Stopping tasks.
+    /// Stops these tasks.
     Stop(WorkerId, Vec<AttemptId>),
 }
 
 /// What a call to a minion is for.
 #[derive(Debug)]
 pub(crate) enum MinionOp {
-    /// A request.
-    Ask { request: u64, minion: MinionId },
-    /// What became of an earlier one.
+    /// Sends a request.
+    Request { request: u64, minion: MinionId },
+    /// Asks for the outcome of an earlier request, which must not start any more.
     Seal(JobId),
 }
 
 /// What a call to another daemon is for.
 #[derive(Debug)]
 pub(crate) enum PeerOp {
-    /// A sign of life.
+    /// Sends a heartbeat.
     Heartbeat,
-    /// Catching up with the catalogue.
+    /// Fetches catalogue changes that this daemon lacks.
     Catalogue,
-    /// A job's answer is passed on to somebody who waits.
+    /// Queries or cancels a job at its coordinator; the reply goes to the waiting caller.
     ProxyReply(Ticket),
-    /// Work was handed on; it is run here if the other did not get it.
+    /// Forwards a submission; it is run here if the other daemon did not receive it.
     Forward { ticket: Ticket, caller: Caller, key: String, submission: Submission, wait_ms: u64 },
-    /// Room on another's workers.
+    /// Reserves capacity on workers that the peer holds.
     Reserve { job: JobId, attempts: Vec<AttemptId>, holder: DaemonId },
-    /// What became of attempts.
+    /// Asks what became of attempts.
     Inquire,
-    /// Which attempts of these jobs are at that daemon.
+    /// Asks which attempts of these jobs are on workers that the peer holds.
     Find(Vec<JobId>),
-    /// Reports of tasks.
+    /// Reports task states to the coordinator.
     Report { to: DaemonId },
-    /// Nothing depends on the answer.
+    /// A call whose reply is ignored.
     Notification,
 }
 
 impl Engine {
     pub(crate) fn next_op(&mut self) -> OpId {
-        self.ops.next += 1;
-        self.ops.next
+        self.ops.last_id += 1;
+        self.ops.last_id
     }
 
     pub(crate) fn call_store(&mut self, purpose: StoreOp, call: StoreCall) {
@@ -150,17 +151,17 @@
         self.effects.push(Effect::Minion { op, minion, address, call });
     }
 
-    /// Calls a daemon; says whether its address is known.
+    /// Queues a call to a daemon; returns false if its address is not known.
     pub(crate) fn call_peer(&mut self, purpose: PeerOp, daemon: &DaemonId, call: PeerCall) -> bool {
         let Some(address) = self.address_of(daemon) else {
             return false;
         };
-        let waits_ms = match &call {
+        let caller_wait_ms = match &call {
             PeerCall::Status { wait_ms, .. } => *wait_ms,
             PeerCall::Submit(submit) => submit.wait_ms,
             _ => 0,
         };
-        let timeout_ms = self.settings.membership.peer_timeout_ms + waits_ms;
+        let timeout_ms = self.settings.membership.peer_timeout_ms + caller_wait_ms;
         let op = self.next_op();
         self.ops.peer.insert(op, purpose);
         self.effects.push(Effect::Peer { op, address, call, timeout_ms });
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -1,8 +1,9 @@
-//! Requests: answered in line by a minion on a worker that is held here.
+//! Requests: served synchronously by a minion on a worker that this daemon holds.
 //!
-//! A request that may run only once is recorded with its minion before it is
-//! sent. Without an answer nobody knows whether it ran; the caller is told so
-//! at once, and the minion is asked until it tells or is gone for good.
+//! A request that may run only once is recorded together with its minion before
+//! it is sent. If no answer comes, it is unknown whether the request ran: the
+//! caller gets that outcome at once, and the minion is queried until it reports
+//! the outcome or its worker is gone for good.
 
 use stoatwell_ledger::JobMachine;
 use stoatwell_model::AttemptId;
@@ -28,24 +29,24 @@
 use crate::ops::MinionOp;
 use crate::submit::Admitted;
 
-/// Tries of one request, retries of what was surely not begun included.
-const TRIES_MAX: u32 = 5;
-/// When to come back after no minion had a slot.
+/// Attempts of one request, including those that certainly did not start.
+const ATTEMPTS_MAX: u32 = 5;
+/// Retry delay suggested to a caller when the request cannot be taken now.
 const RETRY_AFTER_MS: u64 = 500;
 
-/// One request in work.
+/// One request that has no outcome yet.
 #[derive(Debug)]
 pub(crate) struct Request {
-    /// Who waits; for recorded requests the job's waiters do.
+    /// The waiting caller; `None` for recorded requests, whose callers wait on the job.
     pub(crate) ticket: Option<Ticket>,
     pub(crate) record: stoatwell_model::JobRecord,
     pub(crate) body: String,
     pub(crate) group: String,
     pub(crate) deadline_ms: UnixMs,
-    pub(crate) tries: u32,
+    pub(crate) attempts: u32,
     pub(crate) picked: Option<PickedMinion>,
-    pub(crate) asked: bool,
-    /// Whether a try may have been begun; then "not run" would be no proof.
+    pub(crate) sent: bool,
+    /// Whether any attempt may have started; if so, "not run" must not be reported.
     pub(crate) may_have_run: bool,
 }
 
@@ -55,12 +56,12 @@
     }
 
     fn attempt(&self) -> AttemptId {
-        AttemptId { job: self.record.job, task: 0, attempt: self.tries.max(1) }
+        AttemptId { job: self.record.job, task: 0, attempt: self.attempts.max(1) }
     }
 }
 
 impl Engine {
-    pub(crate) fn take_request(
+    pub(crate) fn accept_request(
         &mut self,
         ticket: Ticket,
         caller: &Caller,
@@ -72,8 +73,8 @@
             let failure = Failure::new(Code::Overloaded).retry_after(RETRY_AFTER_MS);
             return self.answer_job(ticket, Err(failure));
         }
-        let once = admitted.entry.execution == Execution::AtMostOnce;
-        if once && self.refuses_records() {
+        let at_most_once = admitted.entry.execution == Execution::AtMostOnce;
+        if at_most_once && self.rejects_recorded_work() {
             let failure = Failure::new(Code::StoreUnavailable).retry_after(RETRY_AFTER_MS);
             return self.answer_job(ticket, Err(failure));
         }
@@ -88,11 +89,11 @@
                 return self.answer_job(ticket, Err(failure));
             }
         }
-        self.budget.on_first_try();
-        let number = self.add_request(ticket, admitted, group, once);
+        self.retry_budget.on_first_try();
+        let request_id = self.add_request(ticket, admitted, group, at_most_once);
         match picked {
-            Some(picked) => self.route(number, picked),
-            None => self.let_wait(number),
+            Some(picked) => self.assign_minion(request_id, picked),
+            None => self.queue_request(request_id),
         }
     }
 
@@ -101,70 +102,70 @@
         ticket: Ticket,
         admitted: Admitted,
         group: String,
-        once: bool,
+        at_most_once: bool,
     ) -> u64 {
-        let mut record = self.record_of(&admitted);
+        let mut record = self.new_record(&admitted);
         if record.deadline_ms == 0 {
             record.deadline_ms = self.now_ms + self.settings.routing.request_timeout_ms;
         }
         let deadline_ms = record.deadline_ms;
         let body = admitted.submission.body;
-        // A recorded request keeps its body nowhere: it is never sent again by
-        // another daemon.
+        // The record contains no body, because no other daemon ever sends the
+        // request again.
         record.body = String::new();
         record.body_object = None;
-        let number = self.next_request;
-        self.next_request += 1;
-        if once {
+        let request_id = self.next_request_id;
+        self.next_request_id += 1;
+        if at_most_once {
             let mut job = Job::new(JobMachine::new(record.clone(), 0, 1), String::new());
             job.acceptance_waiters.push((ticket, deadline_ms.saturating_sub(self.now_ms)));
             job.accept_until_ms = deadline_ms;
-            job.request = Some(number);
+            job.request = Some(request_id);
             self.jobs.insert(record.job, job);
         }
         let request = Request {
-            ticket: (!once).then_some(ticket),
+            ticket: (!at_most_once).then_some(ticket),
             record,
             body,
             group,
             deadline_ms,
-            tries: 0,
+            attempts: 0,
             picked: None,
-            asked: false,
+            sent: false,
             may_have_run: false,
         };
-        self.requests.insert(number, request);
-        number
+        self.requests.insert(request_id, request);
+        request_id
     }
 
-    /// Whether a slot may become free here: on a minion held here, or on one
-    /// that another daemon of the zone holds and may be about to hand over.
+    /// Whether a slot may become free here: on a local minion, or on one that
+    /// another daemon of the zone holds and may be about to hand over.
     fn has_minions(&self, group: &str) -> bool {
-        let here =
+        let local =
             self.minions.all().any(|(_, minion)| minion.group == group && minion.serves.is_some());
-        let near = self.members.live_in(self.now_ms, &self.me.zone);
-        let mut told = near.flat_map(|member| &member.summary.groups);
-        here || told.any(|found| found.group == group && found.slots > 0)
+        let zone_members = self.members.live_in(self.now_ms, &self.me.zone);
+        let mut reported = zone_members.flat_map(|member| &member.summary.groups);
+        local || reported.any(|found| found.group == group && found.slots > 0)
     }
 
-    fn let_wait(&mut self, number: u64) {
-        if let Some(request) = self.requests.get(&number) {
-            self.waiting.push(&request.group, request.deadline_ms, number);
+    fn queue_request(&mut self, request_id: u64) {
+        if let Some(request) = self.requests.get(&request_id) {
+            self.request_queue.push(&request.group, request.deadline_ms, request_id);
         }
     }
 
-    /// A slot was taken for this request.
-    fn route(&mut self, number: u64, picked: PickedMinion) {
-        let Some(request) = self.requests.get_mut(&number) else {
+    /// Assigns the slot that was taken on a minion to this request.
+    fn assign_minion(&mut self, request_id: u64, picked: PickedMinion) {
+        let Some(request) = self.requests.get_mut(&request_id) else {
             self.minions.release(self.now_ms, &picked.minion, RequestEnd::Answered);
             return;
         };
         let worker = picked.worker.clone();
         let minion = format!("{}/{}", picked.address, picked.minion);
         request.picked = Some(picked);
-        request.tries += 1;
+        request.attempts += 1;
         if !request.is_recorded() {
-            self.ask(number);
+            self.send_request(request_id);
             return;
         }
         let id = request.record.job;
@@ -172,87 +173,97 @@
         self.drive(id, |machine, _| machine.on_routed(&worker, token, &minion));
     }
 
-    /// The intent of a recorded request is durable.
-    pub(crate) fn ask_recorded(&mut self, id: JobId) {
-        let number = self.jobs.get(&id).and_then(|job| job.request);
-        let Some(number) = number else {
+    /// Sends a recorded request, now that its intent is durable.
+    pub(crate) fn send_recorded_request(&mut self, id: JobId) {
+        let request_id = self.jobs.get(&id).and_then(|job| job.request);
+        let Some(request_id) = request_id else {
             return;
         };
-        let late =
-            self.requests.get(&number).is_none_or(|request| request.deadline_ms <= self.now_ms);
-        if late {
-            // The record took longer than the request had time; it was not sent.
-            self.give_slot_back(number, RequestEnd::Answered);
-            self.requests.remove(&number);
-            self.finish_request(id, not_run(Code::DeadlinePassed, "it waited for its record"));
+        let expired =
+            self.requests.get(&request_id).is_none_or(|request| request.deadline_ms <= self.now_ms);
+        if expired {
+            // The deadline passed while the intent was being written.
+            self.release_slot(request_id, RequestEnd::Answered);
+            self.requests.remove(&request_id);
+            self.finish_request(
+                id,
+                not_run(Code::DeadlinePassed, "the deadline passed while its record was written"),
+            );
             return;
         }
-        self.ask(number);
+        self.send_request(request_id);
     }
 
-    fn ask(&mut self, number: u64) {
-        let Some(request) = self.requests.get_mut(&number) else {
+    fn send_request(&mut self, request_id: u64) {
+        let Some(request) = self.requests.get_mut(&request_id) else {
             return;
         };
         let Some(picked) = request.picked.clone() else {
             return;
         };
-        request.asked = true;
+        request.sent = true;
         let call = MinionCall::Ask {
             attempt: request.attempt(),
             deadline_ms: request.deadline_ms.saturating_sub(self.now_ms).max(1),
             body: request.body.clone(),
         };
-        let purpose = MinionOp::Ask { request: number, minion: picked.minion.clone() };
+        let purpose = MinionOp::Request { request: request_id, minion: picked.minion.clone() };
         self.call_minion(purpose, picked.minion, picked.address, call);
     }
 
     pub(crate) fn on_minion_done(&mut self, op: OpId, reply: Result<MinionReply, CallError>) {
         match self.ops.minion.remove(&op) {
-            Some(MinionOp::Ask { request, minion }) => self.on_asked(request, &minion, reply),
+            Some(MinionOp::Request { request, minion }) => {
+                self.on_request_reply(request, &minion, reply)
+            }
             Some(MinionOp::Seal(job)) => self.on_sealed(job, reply),
             None => {}
         }
     }
 
-    fn on_asked(&mut self, number: u64, minion: &MinionId, reply: Result<MinionReply, CallError>) {
-        let ending = match &reply {
+    fn on_request_reply(
+        &mut self,
+        request_id: u64,
+        minion: &MinionId,
+        reply: Result<MinionReply, CallError>,
+    ) {
+        let end = match &reply {
             Ok(MinionReply::Busy) => RequestEnd::Busy,
             Ok(_) => RequestEnd::Answered,
             Err(_) => RequestEnd::Failed,
         };
-        self.minions.release(self.now_ms, minion, ending);
-        let Some(request) = self.requests.get_mut(&number) else {
+        self.minions.release(self.now_ms, minion, end);
+        let Some(request) = self.requests.get_mut(&request_id) else {
             return;
         };
         request.picked = None;
-        request.asked = false;
-        let begun = match &reply {
+        request.sent = false;
+        let may_have_started = match &reply {
             Ok(MinionReply::Busy | MinionReply::NeverStarted) => false,
             Ok(_) => true,
             Err(error) => !error.is_without_effect(),
         };
-        request.may_have_run |= begun;
+        request.may_have_run |= may_have_started;
         let recorded = request.is_recorded();
         match reply {
             Ok(MinionReply::Answer { body }) => {
-                self.end_request(number, Outcome::Done { answer: body });
+                self.end_request(request_id, Outcome::Done { answer: body });
             }
-            Ok(MinionReply::Busy | MinionReply::NeverStarted) => self.on_not_begun(number),
-            Err(error) if error.is_without_effect() => self.on_not_begun(number),
+            Ok(MinionReply::Busy | MinionReply::NeverStarted) => self.on_not_started(request_id),
+            Err(error) if error.is_without_effect() => self.on_not_started(request_id),
             Ok(MinionReply::Failed { reason }) => {
-                if recorded || !self.try_again(number) {
+                if recorded || !self.retry_request(request_id) {
                     let outcome = Outcome::Failed { code: Code::MinionFailed, detail: reason };
-                    self.end_request(number, outcome);
+                    self.end_request(request_id, outcome);
                 }
             }
-            Ok(MinionReply::Running) | Err(_) if recorded => self.on_unknown(number),
+            Ok(MinionReply::Running) | Err(_) if recorded => self.on_unknown(request_id),
             Ok(MinionReply::Running) | Err(_) => {
-                if !self.try_again(number) {
+                if !self.retry_request(request_id) {
                     let detail =
-                        "the minion did not answer; the work may be repeated safely".to_owned();
+                        "the minion did not answer; the request can be repeated safely".to_owned();
                     self.end_request(
-                        number,
+                        request_id,
                         Outcome::Unknown { code: Code::OutcomeUnknown, detail },
                     );
                 }
@@ -260,19 +271,19 @@
         }
     }
 
-    /// The minion surely did not begin; another may.
-    fn on_not_begun(&mut self, number: u64) {
-        let Some(request) = self.requests.get(&number) else {
+    /// The minion certainly did not start the request, so another one may.
+    fn on_not_started(&mut self, request_id: u64) {
+        let Some(request) = self.requests.get(&request_id) else {
             return;
         };
         let id = request.record.job;
-        if request.tries >= TRIES_MAX || request.deadline_ms <= self.now_ms {
+        if request.attempts >= ATTEMPTS_MAX || request.deadline_ms <= self.now_ms {
             let code = if request.deadline_ms <= self.now_ms {
                 Code::DeadlinePassed
             } else {
                 Code::NoMinion
             };
-            self.end_untried(number, code, "no minion began it");
+            self.end_without_retry(request_id, code, "no minion started it");
             return;
         }
         if request.is_recorded() {
@@ -280,19 +291,20 @@
             self.drive(id, |machine, now_ms| machine.on_absent(now_ms, attempt));
             return;
         }
-        self.let_wait(number);
+        self.queue_request(request_id);
     }
 
-    /// Another try of work that may be repeated, if the budget and the time allow it.
-    fn try_again(&mut self, number: u64) -> bool {
-        let Some(request) = self.requests.get(&number) else {
+    /// Queues repeatable work for another attempt if the retry budget and the deadline
+    /// allow it; returns whether it did.
+    fn retry_request(&mut self, request_id: u64) -> bool {
+        let Some(request) = self.requests.get(&request_id) else {
             return false;
         };
-        let in_time = request.tries < TRIES_MAX && request.deadline_ms > self.now_ms;
-        if !in_time || !self.budget.take() {
+        let may_retry = request.attempts < ATTEMPTS_MAX && request.deadline_ms > self.now_ms;
+        if !may_retry || !self.retry_budget.take() {
             return false;
         }
-        self.let_wait(number);
+        self.queue_request(request_id);
         true
     }
 
@@ -311,21 +323,23 @@
         }
     }
 
-    /// No further try is made: "not run" if no earlier one can have been begun.
-    fn end_untried(&mut self, number: u64, code: Code, detail: &str) {
-        let began = self.requests.get(&number).is_some_and(|request| request.may_have_run);
-        let outcome = if began {
-            let detail = format!("an earlier try went without an answer, and {detail}");
+    /// Ends a request without another attempt. The outcome is "not run" only if no
+    /// earlier attempt can have started.
+    fn end_without_retry(&mut self, request_id: u64, code: Code, detail: &str) {
+        let may_have_run =
+            self.requests.get(&request_id).is_some_and(|request| request.may_have_run);
+        let outcome = if may_have_run {
+            let detail = format!("an earlier attempt was not answered; since then {detail}");
             Outcome::Unknown { code: Code::OutcomeUnknown, detail }
         } else {
             not_run(code, detail)
         };
-        self.end_request(number, outcome);
+        self.end_request(request_id, outcome);
     }
 
-    /// The request has its outcome.
-    fn end_request(&mut self, number: u64, outcome: Outcome) {
-        let Some(request) = self.requests.remove(&number) else {
+    /// Ends a request with its outcome.
+    fn end_request(&mut self, request_id: u64, outcome: Outcome) {
+        let Some(request) = self.requests.remove(&request_id) else {
             return;
         };
         let id = request.record.job;
@@ -342,57 +356,59 @@
         }
     }
 
-    /// Fixes the outcome of a recorded request. The callers have it at once;
-    /// should this daemon die before it is written, the minion still knows.
+    /// Sets the outcome of a recorded request. An accepted request's callers get it
+    /// at once: if this daemon dies before the outcome is written, the minion can
+    /// still report it.
     pub(crate) fn finish_request(&mut self, id: JobId, outcome: Outcome) {
         let now_ms = self.now_ms;
-        let accept_ms = self.settings.ledger.accept_timeout_ms;
+        let accept_timeout_ms = self.settings.ledger.accept_timeout_ms;
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         job.request = None;
         if !job.accepted {
-            // Another daemon may have taken the same key and run it. Only the
-            // record tells, so "not run" is written as the key's outcome first;
-            // if the key has a record, its callers get that one's answer.
-            job.accept_until_ms = now_ms + accept_ms;
+            // Another daemon may have accepted and run the same key, which only the
+            // record shows. So "not run" is first written as the key's outcome; if
+            // the key already has a record, the callers get its answer instead.
+            job.accept_until_ms = now_ms + accept_timeout_ms;
             self.drive(id, |machine, now_ms| machine.finish(now_ms, outcome));
             return;
         }
-        let told = outcome.clone();
+        let final_outcome = outcome.clone();
         self.drive(id, |machine, now_ms| machine.finish(now_ms, outcome));
         if let Some(view) = self.view(id) {
-            let view = JobView { state: told.state(), outcome: Some(told), ..view };
+            let view =
+                JobView { state: final_outcome.state(), outcome: Some(final_outcome), ..view };
             self.answer_waiters(id, &view);
         }
     }
 
-    /// A recorded request whose minion did not begin goes to another one.
+    /// Queues a recorded request again after its minion did not start it.
     pub(crate) fn requeue_request(&mut self, id: JobId) {
-        if let Some(number) = self.jobs.get(&id).and_then(|job| job.request) {
-            self.let_wait(number);
+        if let Some(request_id) = self.jobs.get(&id).and_then(|job| job.request) {
+            self.queue_request(request_id);
             return;
         }
-        // It was taken over from another daemon, and its caller with it: the
-        // body is not here and nobody waits for the answer.
-        self.finish_request(id, not_run(Code::NoMinion, "the daemon that had it was replaced"));
+        // The job was taken over from another daemon: its body is not here, and no
+        // caller waits for the answer.
+        self.finish_request(id, not_run(Code::NoMinion, "the daemon that ran it was replaced"));
     }
 
     pub(crate) fn serve_waiting_requests(&mut self) {
-        if self.waiting.is_empty() {
+        if self.request_queue.is_empty() {
             return;
         }
-        for group in self.waiting.groups() {
-            while let Some(number) = self.waiting.pop(&group) {
-                let Some(request) = self.requests.get(&number) else {
+        for group in self.request_queue.groups() {
+            while let Some(request_id) = self.request_queue.pop(&group) {
+                let Some(request) = self.requests.get(&request_id) else {
                     continue;
                 };
                 let owner = request.record.owner.clone();
                 let deadline_ms = request.deadline_ms;
                 if let Some(picked) = self.minions.pick(self.now_ms, &group, &owner) {
-                    self.route(number, picked);
+                    self.assign_minion(request_id, picked);
                 } else {
-                    self.waiting.push(&group, deadline_ms, number);
+                    self.request_queue.push(&group, deadline_ms, request_id);
                     break;
                 }
             }
@@ -400,36 +416,36 @@
     }
 
     pub(crate) fn expire_requests(&mut self) {
-        for number in self.waiting.take_expired(self.now_ms) {
-            self.end_untried(number, Code::DeadlinePassed, "no slot became free in time");
+        for request_id in self.request_queue.take_expired(self.now_ms) {
+            self.end_without_retry(request_id, Code::DeadlinePassed, "no slot became free in time");
         }
     }
 
-    pub(crate) fn drop_waiting_request(&mut self, id: JobId) {
-        let number = self.jobs.get(&id).and_then(|job| job.request);
-        if let Some(number) = number
-            && self.requests.get(&number).is_some_and(|request| !request.asked)
+    pub(crate) fn drop_unsent_request(&mut self, id: JobId) {
+        let request_id = self.jobs.get(&id).and_then(|job| job.request);
+        if let Some(request_id) = request_id
+            && self.requests.get(&request_id).is_some_and(|request| !request.sent)
         {
-            self.give_slot_back(number, RequestEnd::Answered);
-            self.requests.remove(&number);
+            self.release_slot(request_id, RequestEnd::Answered);
+            self.requests.remove(&request_id);
         }
     }
 
     pub(crate) fn drop_request_of(&mut self, job: &Job) {
-        if let Some(number) = job.request {
-            self.give_slot_back(number, RequestEnd::Answered);
-            self.requests.remove(&number);
+        if let Some(request_id) = job.request {
+            self.release_slot(request_id, RequestEnd::Answered);
+            self.requests.remove(&request_id);
         }
     }
 
-    fn give_slot_back(&mut self, number: u64, ending: RequestEnd) {
-        let Some(request) = self.requests.get_mut(&number) else {
+    fn release_slot(&mut self, request_id: u64, end: RequestEnd) {
+        let Some(request) = self.requests.get_mut(&request_id) else {
             return;
         };
         if let Some(picked) = request.picked.take()
-            && !request.asked
+            && !request.sent
         {
-            self.minions.release(self.now_ms, &picked.minion, ending);
+            self.minions.release(self.now_ms, &picked.minion, end);
         }
     }
 }
--- a/crates/engine/src/submit.rs
+++ b/crates/engine/src/submit.rs
@@ -1,4 +1,4 @@
-//! The door: what is accepted, what is refused, and joining duplicates.
+//! Admission of submissions: checks, deduplication by key, forwarding and acceptance.
 
 use stoatwell_ledger::JobMachine;
 use stoatwell_model::Class;
@@ -27,12 +27,12 @@
 use crate::ops::PeerOp;
 use crate::ops::StoreOp;
 
-/// When to come back after most refusals that pass by themselves.
+/// Retry delay suggested to a caller for most temporary refusals.
 pub(crate) const RETRY_AFTER_MS: u64 = 1_000;
 const KEY_BYTES_MAX: usize = 128;
 const PERMILLE: u64 = 1_000;
 
-/// Work that passed the door.
+/// A submission that passed the admission checks.
 pub(crate) struct Admitted {
     pub(crate) entry: WorkEntry,
     pub(crate) key: String,
@@ -50,24 +50,26 @@
         submission: Submission,
         wait_ms: u64,
     ) {
-        if self.stopping && self.hand_on(ticket, caller, &key, &submission, wait_ms) {
+        if self.stopping && self.forward_while_stopping(ticket, caller, &key, &submission, wait_ms)
+        {
             return;
         }
         match self.admit(caller, &key, &submission) {
             Ok(entry) if stays_with_old_system(&entry, &key) => {
-                // It may have been accepted while the share was larger; told
-                // "not run" then, a caller would run it a second time elsewhere.
+                // It may have been accepted while the share was larger. If it were
+                // refused now, the caller would run it again in the old system.
                 let lookup = Lookup::Resubmission { ticket, key, submission, wait_ms };
                 self.look_up(lookup);
             }
-            Ok(entry) => self.take(ticket, caller, entry, key, submission, wait_ms, true),
+            Ok(entry) => self.dispatch(ticket, caller, entry, key, submission, wait_ms, true),
             Err(failure) => self.answer_job(ticket, Err(failure)),
         }
     }
 
-    /// Callers still come for a while after a stop began, because their
-    /// balancer has not noticed; another daemon takes what they bring.
-    fn hand_on(
+    /// Forwards a submission that arrives during shutdown to another daemon. Load
+    /// balancers keep sending callers here until they notice the shutdown. Returns
+    /// false if the submission cannot be forwarded.
+    fn forward_while_stopping(
         &mut self,
         ticket: Ticket,
         caller: &Caller,
@@ -83,9 +85,9 @@
         }
         let live = self.members.live(self.now_ms);
         let ready = live.filter(|member| !member.stopping);
-        // One of the own zone before others.
-        let near = ready.max_by_key(|member| member.identity.zone == self.me.zone);
-        let Some(daemon) = near.map(|member| member.identity.daemon.clone()) else {
+        // Prefer a daemon of this zone.
+        let nearest = ready.max_by_key(|member| member.identity.zone == self.me.zone);
+        let Some(daemon) = nearest.map(|member| member.identity.daemon.clone()) else {
             return false;
         };
         let job = JobId::of_key(&entry.owner, key);
@@ -100,18 +102,26 @@
         self.forward(ticket, caller, &admitted, wait_ms, &daemon)
     }
 
-    /// Work that another daemon could not run and handed on.
+    /// Handles a submission that another daemon forwarded; it is not forwarded again.
     pub(crate) fn on_forwarded(&mut self, ticket: Ticket, call: SubmitCall) {
         let caller = Caller::Owner(call.owner);
         match self.admit(&caller, &call.key, &call.submission) {
             Ok(entry) => {
-                self.take(ticket, &caller, entry, call.key, call.submission, call.wait_ms, false);
+                self.dispatch(
+                    ticket,
+                    &caller,
+                    entry,
+                    call.key,
+                    call.submission,
+                    call.wait_ms,
+                    false,
+                );
             }
             Err(failure) => self.answer_job(ticket, Err(failure)),
         }
     }
 
-    /// All checks that need no more than the catalogue.
+    /// Runs the checks that need only the catalogue and the state of this daemon.
     fn admit(
         &self,
         caller: &Caller,
@@ -146,7 +156,7 @@
         Ok(entry.clone())
     }
 
-    fn take(
+    fn dispatch(
         &mut self,
         ticket: Ticket,
         caller: &Caller,
@@ -158,23 +168,23 @@
     ) {
         let job = JobId::of_key(&entry.owner, &key);
         let content_hash = content_hash(&submission);
-        if self.join(ticket, job, content_hash, wait_ms) {
+        if self.join_existing_job(ticket, job, content_hash, wait_ms) {
             return;
         }
         let admitted = Admitted { entry, key, submission, content_hash, job };
         if admitted.entry.class == Class::Request {
-            self.take_request(ticket, caller, admitted, wait_ms, may_forward);
+            self.accept_request(ticket, caller, admitted, wait_ms, may_forward);
             return;
         }
-        if let Err(failure) = self.has_room_for(&admitted) {
+        if let Err(failure) = self.check_capacity(&admitted) {
             self.answer_job(ticket, Err(failure));
             return;
         }
         let demand = admitted.submission.demand.unwrap_or(admitted.entry.task);
-        let here = self.scheduler.cell.could_fit(&admitted.entry.owner, &demand);
-        if may_forward && !here {
-            let target = self.find_room(&admitted.entry.owner, &demand);
-            if let Some(daemon) = target
+        let fits_here = self.scheduler.cell.could_fit(&admitted.entry.owner, &demand);
+        if may_forward && !fits_here {
+            let peer = self.find_room(&admitted.entry.owner, &demand);
+            if let Some(daemon) = peer
                 && self.forward(ticket, caller, &admitted, wait_ms, &daemon)
             {
                 return;
@@ -183,8 +193,15 @@
         self.accept(ticket, admitted, wait_ms);
     }
 
-    /// Joins the first submission of the same key, if it is known here.
-    fn join(&mut self, ticket: Ticket, id: JobId, content_hash: u64, wait_ms: u64) -> bool {
+    /// Joins an earlier submission of the same key if its job runs here. Returns false
+    /// if there is none.
+    fn join_existing_job(
+        &mut self,
+        ticket: Ticket,
+        id: JobId,
+        content_hash: u64,
+        wait_ms: u64,
+    ) -> bool {
         let Some(job) = self.jobs.get_mut(&id) else {
             return false;
         };
@@ -200,9 +217,9 @@
         true
     }
 
-    fn has_room_for(&self, admitted: &Admitted) -> Result<(), Failure> {
+    fn check_capacity(&self, admitted: &Admitted) -> Result<(), Failure> {
         let entry = &admitted.entry;
-        if self.refuses_records() {
+        if self.rejects_recorded_work() {
             return Err(Failure::new(Code::StoreUnavailable).retry_after(RETRY_AFTER_MS));
         }
         if self.jobs.len() as u64 >= self.settings.queue.jobs {
@@ -217,25 +234,29 @@
             return Err(Failure::new(Code::EntryHeldBack).retry_after(wait_ms));
         }
         let demand = admitted.submission.demand.unwrap_or(entry.task);
-        match self.could_hold_anywhere(&entry.owner, &demand) {
+        match self.could_fit_anywhere(&entry.owner, &demand) {
             Some(true) => {}
-            Some(false) => return Err(self.never_fits(&entry.owner, &demand)),
+            Some(false) => return Err(self.never_fits_failure(&entry.owner, &demand)),
             None => return Err(Failure::new(Code::NotReady).retry_after(RETRY_AFTER_MS)),
         }
-        let all = demand.times(u64::from(admitted.submission.tasks));
+        let total = demand.times(u64::from(admitted.submission.tasks));
         let quota = self.catalogue.owner(&entry.owner).map(|owner| owner.quota);
-        let together = if entry.class == Class::Gang { all } else { demand };
-        if quota.is_some_and(|quota| !quota.holds(&together)) {
+        let simultaneous = if entry.class == Class::Gang { total } else { demand };
+        if quota.is_some_and(|quota| !quota.holds(&simultaneous)) {
             return Err(Failure::with_detail(Code::OverQuota, &entry.owner));
         }
         Ok(())
     }
 
-    fn never_fits(&self, owner: &OwnerName, demand: &stoatwell_model::Resources) -> Failure {
+    fn never_fits_failure(
+        &self,
+        owner: &OwnerName,
+        demand: &stoatwell_model::Resources,
+    ) -> Failure {
         let largest = self.scheduler.cell.largest(owner);
         let detail = match largest.lacking(demand) {
             Some(lacking) => format!("no target of {owner} has enough {lacking}"),
-            None => format!("no single target of {owner} has all of it"),
+            None => format!("no single target of {owner} has enough of every resource"),
         };
         Failure::with_detail(Code::NeverFits, detail)
     }
@@ -289,10 +310,12 @@
     ) {
         match reply {
             Ok(PeerReply::Job(result)) => self.answer_job(ticket, result),
-            // It never arrived, so it can be run here.
+            // The peer never received it, so it can run here.
             Err(error) if error.is_without_effect() => {
                 match self.admit(caller, &key, &submission) {
-                    Ok(entry) => self.take(ticket, caller, entry, key, submission, wait_ms, false),
+                    Ok(entry) => {
+                        self.dispatch(ticket, caller, entry, key, submission, wait_ms, false)
+                    }
                     Err(failure) => self.answer_job(ticket, Err(failure)),
                 }
             }
@@ -303,9 +326,9 @@
         }
     }
 
-    /// Records the work; the caller is answered once that is durable.
+    /// Writes the job record; the caller is answered once it is durable.
     fn accept(&mut self, ticket: Ticket, admitted: Admitted, wait_ms: u64) {
-        let record = self.record_of(&admitted);
+        let record = self.new_record(&admitted);
         let id = record.job;
         let attempts_max = admitted.entry.limits.attempts;
         let body = admitted.submission.body;
@@ -327,7 +350,7 @@
             self.write_job(id);
             return;
         }
-        // No record names the object, so nothing was accepted.
+        // No record refers to the object, so the job was not accepted.
         let Some(job) = self.jobs.remove(&id) else {
             return;
         };
@@ -337,7 +360,7 @@
         }
     }
 
-    pub(crate) fn record_of(&self, admitted: &Admitted) -> JobRecord {
+    pub(crate) fn new_record(&self, admitted: &Admitted) -> JobRecord {
         let entry = &admitted.entry;
         let submission = &admitted.submission;
         let relative_ms = submission.deadline_ms.unwrap_or(entry.limits.deadline_ms);
@@ -371,7 +394,7 @@
     }
 }
 
-/// The share is a property of the key, so every daemon decides alike.
+/// The decision depends only on the key and the share, so every daemon decides alike.
 fn stays_with_old_system(entry: &WorkEntry, key: &str) -> bool {
     xxh3_64(key.as_bytes()) % PERMILLE >= u64::from(entry.traffic_permille)
 }
@@ -383,7 +406,7 @@
     }
 }
 
-/// How a job is by its record alone.
+/// The state of a job according to its record alone.
 pub(crate) fn view_of_record(record: JobRecord, reasons: Vec<String>) -> JobView {
     JobMachine::new(record, 0, 1).view(reasons)
 }
@@ -395,27 +418,27 @@
 
 fn problems(entry: &WorkEntry, submission: &Submission) -> Vec<Problem> {
     let mut problems = Vec::new();
-    let mut tell = |path: &str, value: String, expected: String, hint: &str| {
+    let mut report = |path: &str, value: String, expected: String, hint: &str| {
         problems.push(Problem { path: path.to_owned(), value, expected, hint: hint.to_owned() });
     };
     let tasks_max = if entry.class == Class::Request { 1 } else { entry.limits.tasks_per_job };
     if submission.tasks == 0 || submission.tasks > tasks_max {
         let expected = format!("a whole number from 1 to {tasks_max}");
-        tell(
+        report(
             "$.tasks",
             submission.tasks.to_string(),
             expected,
-            "limits.tasks_per_job of the entry bounds it",
+            "the entry's limits.tasks_per_job is the maximum",
         );
     }
     if let Some(demand) = &submission.demand
         && demand.cpu_millis == 0
     {
-        tell(
+        report(
             "$.demand.cpu_millis",
             "0".to_owned(),
             "1 or more".to_owned(),
-            "every task needs some processor",
+            "every task needs CPU",
         );
     }
     problems
--- a/crates/engine/src/sweep.rs
+++ b/crates/engine/src/sweep.rs
@@ -356,7 +356,7 @@
         self.store_failures = if reply.is_ok() { 0 } else { self.store_failures.saturating_add(1) };
         match purpose {
             StoreOp::Commit => self.on_commit_reply(&reply),
-            StoreOp::Follow => self.on_follow(reply),
+            StoreOp::PollCatalogue => self.on_catalogue_reply(reply),
             StoreOp::Edit(ticket, edit) => self.on_edit_reply(ticket, edit, reply),
             StoreOp::Query(ticket) => self.on_store_answer(ticket, reply),
             StoreOp::List { all_zones } => self.on_list(all_zones, reply),
