--- a/crates/engine/src/commit.rs
+++ b/crates/engine/src/commit.rs
@@ -111,7 +111,7 @@
         for (ticket, wait_ms) in std::mem::take(&mut job.acceptance_waiters) {
             match &record {
                 Some(_) if !same_content => {
-                    self.answer_job(ticket, Err(Failure::new(Code::KeyReused)))
+                    self.answer_job(ticket, Err(Failure::new(Code::KeyReused)));
                 }
                 Some(found) => self.answer_from_record(ticket, found.clone(), wait_ms),
                 None => self.answer_job(ticket, Err(Failure::new(Code::Internal))),
--- a/crates/engine/src/ops.rs
+++ b/crates/engine/src/ops.rs
@@ -48,7 +48,7 @@
     StoreBody(JobId),
     /// Reads the large body of a job that was taken over.
     LoadBody(JobId),
-    /// Looks up a job that another daemon coordinates.
+    /// Looks up a job that this daemon does not coordinate.
     Lookup(Lookup),
     /// Scans open jobs for those without a live coordinator.
     SweepOpen,
@@ -90,7 +90,7 @@
 pub(crate) enum MinionOp {
     /// Sends a request.
     Request { request: u64, minion: MinionId },
-    /// Asks for the outcome of an earlier request, which must not start any more.
+    /// Asks for the outcome of an earlier request; one that has not started never will.
     Seal(JobId),
 }
 
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: served synchronously by a minion on a worker that this daemon holds.
+//! Requests: answered by a minion on a worker of this daemon while the caller waits.
 //!
 //! A request that may run only once is recorded together with its minion before
 //! it is sent. If no answer comes, it is unknown whether the request ran: the
@@ -182,7 +182,7 @@
         let expired =
             self.requests.get(&request_id).is_none_or(|request| request.deadline_ms <= self.now_ms);
         if expired {
-            // The deadline passed while the intent was being written.
+            // The deadline passed while the record was being written, so nothing was sent.
             self.release_slot(request_id, RequestEnd::Answered);
             self.requests.remove(&request_id);
             self.finish_request(
@@ -214,7 +214,7 @@
     pub(crate) fn on_minion_done(&mut self, op: OpId, reply: Result<MinionReply, CallError>) {
         match self.ops.minion.remove(&op) {
             Some(MinionOp::Request { request, minion }) => {
-                self.on_request_reply(request, &minion, reply)
+                self.on_request_reply(request, &minion, reply);
             }
             Some(MinionOp::Seal(job)) => self.on_sealed(job, reply),
             None => {}
--- a/crates/engine/src/submit.rs
+++ b/crates/engine/src/submit.rs
@@ -314,7 +314,7 @@
             Err(error) if error.is_without_effect() => {
                 match self.admit(caller, &key, &submission) {
                     Ok(entry) => {
-                        self.dispatch(ticket, caller, entry, key, submission, wait_ms, false)
+                        self.dispatch(ticket, caller, entry, key, submission, wait_ms, false);
                     }
                     Err(failure) => self.answer_job(ticket, Err(failure)),
                 }
@@ -339,7 +339,7 @@
         self.jobs.insert(id, job);
         match object {
             Some(key) => {
-                self.call_store(StoreOp::StoreBody(id), StoreCall::PutObject { key, body })
+                self.call_store(StoreOp::StoreBody(id), StoreCall::PutObject { key, body });
             }
             None => self.write_job(id),
         }
