--- a/crates/engine/tests/failures.rs
+++ b/crates/engine/tests/failures.rs
@@ -1,4 +1,4 @@
-//! The failures of the brief, one by one and in the pairs that are worst.
+//! Single failures that the cell must survive, and the worst pairs of them.
 
 use stoatwell_catalogue::Item;
 use stoatwell_catalogue::edit::EditKind;
@@ -34,8 +34,8 @@
     record(world, key)?.outcome
 }
 
-/// Runs until the job's outcome is durable; gives how long that took.
-fn until_final(world: &mut World, key: &str, limit_ms: u64) -> u64 {
+/// Runs until the job's outcome is durable and returns how long that took.
+fn run_until_outcome(world: &mut World, key: &str, limit_ms: u64) -> u64 {
     let started_ms = world.now_ms;
     while outcome(world, key).is_none() {
         assert!(world.now_ms < started_ms + limit_ms, "{key} has no outcome after {limit_ms} ms");
@@ -44,7 +44,7 @@
     world.now_ms - started_ms
 }
 
-fn settled() -> World {
+fn warmed_up_world() -> World {
     let layout = Layout::default();
     let mut world = World::new(1, &layout);
     world.checker.capacity = Some(layout.capacity);
@@ -60,34 +60,34 @@
     world.engine(node).catalogue().target(worker).cloned().expect("a target")
 }
 
-/// An entry instance is gone without a word. Its callers see their connections
-/// end, and its workers must serve again soon.
+/// An entry instance crashes, which ends the connections of its callers. The other
+/// daemons of the zone must take over its workers and jobs within seconds.
 #[test]
 fn zone_serves_again_after_a_holder_died() {
-    let mut world = settled();
+    let mut world = warmed_up_world();
     world.submit(0, "bundle", "running", 8, LONG);
     world.run_ms(1_000);
     world.crash(0);
     let ticket = world.submit(1, "urgent", "after", 2, SHORT);
-    let took_ms = until_final(&mut world, "after", 10_000);
+    let took_ms = run_until_outcome(&mut world, "after", 10_000);
     assert!(world.job_answer(ticket).is_some_and(|answer| answer.is_ok()));
-    assert!(took_ms < 4_000, "urgent work took {took_ms} ms after a death");
-    until_final(&mut world, "running", 20_000);
+    assert!(took_ms < 4_000, "urgent work took {took_ms} ms after the crash");
+    run_until_outcome(&mut world, "running", 20_000);
     assert_eq!(
         world.checker.starts_of(job("running")),
         8,
-        "running tasks went on and were found again"
+        "running tasks continued and were found again"
     );
     let dump = world.engine(1).dump();
-    let zone = dump.workers.iter().filter(|worker| worker.lease_left_ms.is_some()).count();
-    let other = world.engine(2).dump();
-    let others = other.workers.iter().filter(|worker| worker.lease_left_ms.is_some()).count();
-    assert_eq!(zone + others, 4, "the living daemons hold all workers of the zone");
+    let held_by_1 = dump.workers.iter().filter(|worker| worker.lease_left_ms.is_some()).count();
+    let dump = world.engine(2).dump();
+    let held_by_2 = dump.workers.iter().filter(|worker| worker.lease_left_ms.is_some()).count();
+    assert_eq!(held_by_1 + held_by_2, 4, "the live daemons hold all workers of the zone");
 }
 
-/// A daemon is frozen in the middle of its work, its workers and jobs go to
-/// others, and then it wakes up and goes on where it was. A packet would run
-/// in two places.
+/// A daemon is paused while it works, other daemons take over its workers and
+/// jobs, and then it resumes where it stopped. Without fencing, an exclusive
+/// task would run in two places.
 #[test]
 fn paused_daemon_that_wakes_up_starts_nothing_twice() {
     for seed in 0..20 {
@@ -101,18 +101,18 @@
         world.pause(0, 8_000);
         world.run_ms(30_000);
         for number in 0..6 {
-            until_final(&mut world, &format!("solo-{number}"), 30_000);
-            until_final(&mut world, &format!("route-{number}"), 30_000);
+            run_until_outcome(&mut world, &format!("solo-{number}"), 30_000);
+            run_until_outcome(&mut world, &format!("route-{number}"), 30_000);
             assert!(world.checker.starts_of(job(&format!("route-{number}"))) <= 1);
         }
     }
 }
 
-/// The platform's store is down for a long time and the daemon that runs the
-/// jobs dies meanwhile. Nothing may be lost, and what runs goes on.
+/// The platform's store is down for a minute, and the daemon that coordinates
+/// the jobs crashes meanwhile. No job may be lost, and running tasks continue.
 #[test]
 fn store_down_while_a_holder_dies_loses_nothing() {
-    let mut world = settled();
+    let mut world = warmed_up_world();
     world.submit(0, "bundle", "batch", 6, LONG);
     world.submit(0, "route", "route", 1, LONG);
     world.run_ms(1_000);
@@ -125,11 +125,14 @@
     let failure = world.job_answer(refused).and_then(Result::err).expect("refused");
     assert_eq!(failure.code, Code::StoreUnavailable);
     let at_once = world.submit(1, "route", "during-2", 1, SHORT);
-    assert!(world.job_answer(at_once).is_some(), "known to be down, it refuses at once");
+    assert!(
+        world.job_answer(at_once).is_some(),
+        "the store is known to be down, so it refuses at once"
+    );
     world.store_down = false;
     world.restart(0);
-    until_final(&mut world, "batch", 30_000);
-    until_final(&mut world, "route", 30_000);
+    run_until_outcome(&mut world, "batch", 30_000);
+    run_until_outcome(&mut world, "route", 30_000);
     assert!(matches!(outcome(&mut world, "route"), Some(Outcome::Done { .. })));
     assert_eq!(
         (world.checker.starts_of(job("batch")), world.checker.starts_of(job("route"))),
@@ -137,11 +140,11 @@
     );
 }
 
-/// Every second answer of the store is lost after its write took effect. Taken
-/// for failures, acceptances would be made twice and outcomes forgotten.
+/// Every second reply of the store is lost after its write took effect. If these
+/// writes counted as failed, jobs would be accepted twice and outcomes lost.
 #[test]
 fn lost_answers_are_told_apart_from_failures() {
-    let mut world = settled();
+    let mut world = warmed_up_world();
     world.lost_permille = 500;
     for number in 0..10 {
         world.submit(number % 3, "route", &format!("r{number}"), 1, SHORT);
@@ -151,7 +154,7 @@
     for number in 0..10 {
         let key = format!("r{number}");
         if record(&mut world, &key).is_some() {
-            until_final(&mut world, &key, 30_000);
+            run_until_outcome(&mut world, &key, 30_000);
             assert_eq!(world.checker.starts_of(job(&key)), 1);
         } else {
             assert_eq!(world.checker.starts_of(job(&key)), 0);
@@ -161,11 +164,11 @@
     assert!(recovered > 0, "some lost answers were found to have taken effect");
 }
 
-/// A target goes to the other half while it is full of work. New work of the
-/// old owner there would belong to nobody.
+/// A target moves to the other owner while it is full of work. No new work of the
+/// old owner may start there two seconds after the change.
 #[test]
-fn target_changes_hands_without_new_work_after_two_seconds() {
-    let mut world = settled();
+fn reassigned_target_gets_no_new_work_after_two_seconds() {
+    let mut world = warmed_up_world();
     let worker = WorkerId::new("zone-a-w1");
     for number in 0..30 {
         world.submit(number % 3, "bundle", &format!("fill-{number}"), 4, LONG);
@@ -193,15 +196,15 @@
         );
     }
     for number in 0..30 {
-        until_final(&mut world, &format!("fill-{number}"), 120_000);
+        run_until_outcome(&mut world, &format!("fill-{number}"), 120_000);
     }
 }
 
-/// The zone of a leaving target is cut off from the store. It learns of the
-/// change through its peers, or the target would go on taking work.
+/// The zone of a draining target is cut off from the store. It must learn of the
+/// change from peers in other zones; otherwise the target would keep taking work.
 #[test]
 fn drain_reaches_a_daemon_cut_off_from_the_store() {
-    let mut world = settled();
+    let mut world = warmed_up_world();
     for node in 0..3 {
         world.store_cut.insert(node);
     }
@@ -211,17 +214,17 @@
     while (0..3).any(|node| target(&mut world, node, &worker).state != TargetState::Draining) {
         world.run_ms(50);
         waited_ms += 50;
-        assert!(waited_ms <= 4_000, "the change is not in force in the zone that is cut off");
+        assert!(waited_ms <= 4_000, "the zone that is cut off did not apply the change");
     }
     assert!(matches!(world.answer(ticket), Some(Answer::Edited(Ok(_)))));
 }
 
-/// A zone loses the platform and all other zones. Its requests that may be
-/// repeated are answered, its running work goes on, and what would have to be
-/// recorded is refused with a number.
+/// A zone is cut off from the store and all other zones. It still answers
+/// idempotent requests and continues accepted work, and it rejects work that has
+/// to be recorded with a result code.
 #[test]
 fn zone_cut_off_serves_what_it_can() {
-    let mut world = settled();
+    let mut world = warmed_up_world();
     world.submit(0, "bundle", "accepted-before", 12, LONG);
     world.run_ms(500);
     for node in 0..3 {
@@ -240,15 +243,15 @@
     assert_eq!(
         world.checker.starts_of(job("accepted-before")),
         12,
-        "accepted work went on starting"
+        "accepted tasks continued to start"
     );
     world.heal();
-    until_final(&mut world, "accepted-before", 20_000);
+    run_until_outcome(&mut world, "accepted-before", 20_000);
     assert_eq!(world.checker.starts_of(job("accepted-before")), 12);
 }
 
-/// All daemons of a zone are lost and do not come back. Jobs that wait there
-/// would wait for ever.
+/// All daemons and workers of a zone are lost for good. Unless another zone takes
+/// its jobs over, they would wait forever.
 #[test]
 fn jobs_of_a_dead_zone_go_to_another() {
     let layout =
@@ -268,7 +271,7 @@
     }
     for number in 0..40 {
         if record(&mut world, &format!("b{number}")).is_some() {
-            until_final(&mut world, &format!("b{number}"), 400_000);
+            run_until_outcome(&mut world, &format!("b{number}"), 400_000);
             assert!(matches!(
                 outcome(&mut world, &format!("b{number}")),
                 Some(Outcome::Done { .. })
@@ -277,12 +280,12 @@
     }
 }
 
-/// A worker's power fails under a route batch and a packet. The batch may have
-/// sent its vans, so nobody may claim that it did not run or run it again; the
-/// packet runs again, but only once the first run has surely ended.
+/// The workers of an at-most-once task and of an exclusive task fail. The first
+/// task may have taken effect, so its outcome is unknown and it never runs again.
+/// The second runs again, but only once its first run has certainly ended.
 #[test]
-fn dead_worker_leaves_the_truth() {
-    let mut world = settled();
+fn dead_worker_gives_truthful_outcomes() {
+    let mut world = warmed_up_world();
     world.submit(0, "route", "route", 1, LONG);
     world.submit(0, "solo", "solo", 1, LONG);
     world.run_ms(1_000);
@@ -290,8 +293,8 @@
         let intent = record(&mut world, key).expect("recorded").intents[0].clone();
         world.kill_worker(&intent.worker);
     }
-    until_final(&mut world, "route", 60_000);
-    until_final(&mut world, "solo", 60_000);
+    run_until_outcome(&mut world, "route", 60_000);
+    run_until_outcome(&mut world, "solo", 60_000);
     assert!(matches!(
         outcome(&mut world, "route"),
         Some(Outcome::Unknown { code: Code::OutcomeUnknown, .. })
@@ -300,11 +303,11 @@
     assert_eq!(world.checker.starts_of(job("route")), 1);
 }
 
-/// A thousand jobs are cancelled at once, most of them still waiting. A job
-/// that was started must not be told as not run.
+/// 300 jobs are cancelled at once, many of them still waiting. A job whose task
+/// started must not be reported as "not run".
 #[test]
-fn cancellation_wave_tells_the_truth_of_each_job() {
-    let mut world = settled();
+fn mass_cancellation_reports_which_jobs_ran() {
+    let mut world = warmed_up_world();
     for number in 0..300 {
         world.submit(number % 3, "route", &format!("c{number}"), 1, LONG);
     }
@@ -332,27 +335,28 @@
     assert!(not_run > 100 && ran > 10, "{not_run} not run, {ran} run");
 }
 
-/// A gang needs more room than any one holder has, while each holds a part of
-/// it. Waiting for a holder that is large enough would be waiting for ever.
+/// A gang needs more capacity than any one daemon holds. If it waited for a daemon
+/// with enough capacity, it would wait forever.
 #[test]
-fn gang_wider_than_a_holder_starts_over_several() {
-    let mut world = settled();
+fn gang_larger_than_a_holder_starts_on_several() {
+    let mut world = warmed_up_world();
     let free: Vec<u64> = (0..3)
         .map(|node| {
             world.engine(node).dump().workers.iter().map(|worker| worker.free.accelerators).sum()
         })
         .collect();
-    assert!(free.iter().all(|free| *free < 8), "no holder has all of it: {free:?}");
+    assert!(free.iter().all(|free| *free < 8), "a single daemon has enough capacity: {free:?}");
     world.submit(0, "packet", "wide", 8, SHORT);
-    until_final(&mut world, "wide", 30_000);
+    run_until_outcome(&mut world, "wide", 30_000);
     assert!(matches!(outcome(&mut world, "wide"), Some(Outcome::Done { .. })));
     assert_eq!(world.checker.starts_of(job("wide")), 8, "all or none, and once");
 }
 
-/// A service's worker dies. Its users notice until the replacement runs.
+/// A worker that runs tasks of a service dies. The service is degraded until the
+/// replacements run on other workers.
 #[test]
 fn service_is_replaced_after_its_worker_died() {
-    let mut world = settled();
+    let mut world = warmed_up_world();
     world.submit(0, "desk", "desk", 3, r#"{"forever":true}"#);
     world.run_ms(3_000);
     let view = world.engine(0).dump();
@@ -370,35 +374,35 @@
     assert_eq!(running, 3, "three replicas run on living workers");
 }
 
-/// Something else uses most of a shared target. Work placed there on top would
-/// crowd it out.
+/// Other software uses most of each shared worker. Tasks that need more than the
+/// rest must wait, or they would slow that software down.
 #[test]
-fn foreign_use_is_left_alone() {
-    let mut world = settled();
-    let taken = Resources { cpu_millis: 7_000, ..Resources::ZERO };
+fn capacity_in_foreign_use_is_not_allocated() {
+    let mut world = warmed_up_world();
+    let foreign = Resources { cpu_millis: 7_000, ..Resources::ZERO };
     let ids: Vec<WorkerId> = world.workers.keys().cloned().collect();
     for id in &ids {
-        world.workers.get_mut(id).expect("it is there").set_foreign(taken);
+        world.workers.get_mut(id).expect("it is there").set_foreign(foreign);
     }
     world.run_ms(2_000);
     world.submit(0, "bundle", "too-large", 4, SHORT);
     world.submit(0, "route", "fits", 1, SHORT);
-    until_final(&mut world, "fits", 10_000);
-    assert_eq!(world.checker.starts_of(job("too-large")), 0, "two cores are free nowhere");
+    run_until_outcome(&mut world, "fits", 10_000);
+    assert_eq!(world.checker.starts_of(job("too-large")), 0, "no worker has two free cores");
     for id in &ids {
         world.workers.get_mut(id).expect("it is there").set_foreign(Resources::ZERO);
     }
-    until_final(&mut world, "too-large", 20_000);
+    run_until_outcome(&mut world, "too-large", 20_000);
 }
 
-/// A share of the traffic goes back to the old ordering screens. An order that
-/// stoatwell had taken before must not be told as one for the old screens, or
-/// both would run it.
+/// A share of the traffic moves back to the old system. A job that was accepted
+/// before must not be refused as one for the old system when its key is submitted
+/// again, or both systems would run it.
 #[test]
 fn order_taken_before_the_share_moved_is_joined() {
-    let mut world = settled();
+    let mut world = warmed_up_world();
     world.submit(0, "route", "order-1", 1, SHORT);
-    until_final(&mut world, "order-1", 10_000);
+    run_until_outcome(&mut world, "order-1", 10_000);
     let Some(Item::Work(mut entry)) =
         world.engine(0).catalogue().get("work/route").map(|found| found.item.clone())
     else {
@@ -407,10 +411,13 @@
     entry.traffic_permille = 0;
     world.edit(0, "work/route", EditKind::Put(Item::Work(entry)), None);
     world.run_ms(2_000);
-    let again = world.submit(2, "route", "order-1", 1, SHORT);
+    let resubmitted = world.submit(2, "route", "order-1", 1, SHORT);
     let fresh = world.submit(2, "route", "order-2", 1, SHORT);
     world.run_ms(2_000);
-    assert_eq!(world.job_answer(again).expect("an answer").expect("joined").state, JobState::Done);
+    assert_eq!(
+        world.job_answer(resubmitted).expect("an answer").expect("joined").state,
+        JobState::Done
+    );
     let failure =
         world.job_answer(fresh).expect("an answer").expect_err("it stays with the old system");
     assert_eq!(failure.code, Code::StaysWithOldSystem);
@@ -418,27 +425,27 @@
     assert_eq!(world.checker.starts_of(job("order-2")), 0);
 }
 
-/// Two entry instances get the same key with different content, one after the
-/// other. Taking either silently would lose the other.
+/// The same key is submitted with different content at several daemons. Joining it
+/// to the first job silently would lose the second submission.
 #[test]
 fn key_with_other_content_is_refused_everywhere() {
-    let mut world = settled();
+    let mut world = warmed_up_world();
     world.submit(0, "route", "key", 1, SHORT);
     world.run_ms(1_000);
-    let near = world.submit(1, "route", "key", 1, LONG);
-    let far = world.submit(3, "route", "key", 1, LONG);
+    let same_zone = world.submit(1, "route", "key", 1, LONG);
+    let other_zone = world.submit(3, "route", "key", 1, LONG);
     world.run_ms(1_000);
-    for ticket in [near, far] {
+    for ticket in [same_zone, other_zone] {
         let failure = world.job_answer(ticket).expect("an answer").expect_err("refused");
         assert_eq!(failure.code, Code::KeyReused);
     }
 }
 
-/// Records of finished jobs pile up in the platform's table, which is paid for
-/// and shared.
+/// Records of finished jobs must be removed after the retention time, because the
+/// platform's table is shared and paid for.
 #[test]
 fn finished_records_are_removed_after_their_time() {
-    let mut world = settled();
+    let mut world = warmed_up_world();
     for node in &mut world.nodes {
         node.settings.ledger.retention_ms = 1_000;
     }
@@ -452,17 +459,18 @@
     }
     world.run_ms(5_000);
     assert!(world.rows("job/").len() >= 20);
-    // Rows go by whole hours.
+    // Rows are removed only when the whole hour in which they finished is over.
     world.run_ms(2 * 60 * 60 * 1_000);
     assert_eq!(world.rows("job/").len(), 0);
     assert_eq!(world.rows("done/").len(), 0);
 }
 
-/// Only one task of an entry may run in the whole cell, whichever daemon runs
-/// its job. Split by rounding down, nobody would be allowed any.
+/// Only one task of an entry may run in the whole cell, whichever daemons
+/// coordinate its jobs. If the limit were split by rounding down, no daemon could
+/// start any.
 #[test]
 fn limit_of_one_task_holds_over_all_daemons() {
-    let mut world = settled();
+    let mut world = warmed_up_world();
     let Some(Item::Work(mut entry)) =
         world.engine(0).catalogue().get("work/route").map(|found| found.item.clone())
     else {
@@ -484,5 +492,5 @@
             break;
         }
     }
-    assert_eq!(done, 3, "each comes to its turn");
+    assert_eq!(done, 3, "every job ran");
 }
--- a/crates/engine/tests/model.rs
+++ b/crates/engine/tests/model.rs
@@ -1,10 +1,11 @@
-//! Every interleaving of the lease, intent and take-over protocol, within bounds.
+//! A bounded model checker for the protocol of leases, intents and take-overs.
 //!
-//! Two daemons, one worker and one task that may run at most once. Pauses are
-//! any other daemon's steps in between, crashes are daemons that never step
-//! again, and a start that was sent may arrive at any later time, twice or
-//! never. The explorer visits all states breadth first; the broken variants
-//! show that it finds what each part of the protocol is there to prevent.
+//! The model has two daemons, one worker and one task that may run at most once.
+//! A pause is modelled by steps of the other daemon in between, a crash by a
+//! daemon that takes no more steps, and a start that was sent may arrive at any
+//! later time, twice or never. The checker visits all states breadth first. The
+//! broken variants show that it finds the fault that each part of the protocol
+//! prevents.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -14,29 +15,29 @@
 const EPOCHS: u8 = 4;
 const ATTEMPTS: u8 = 3;
 
-/// Which part of the protocol is left out.
+/// The part of the protocol that is left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Variant {
-    Whole,
-    /// The worker starts whatever arrives.
+    Complete,
+    /// The worker starts whatever arrives, without comparing fencing tokens.
     NoFence,
     /// A start is sent before its intent is durable.
     NoIntent,
-    /// A holder tells "never started" while its own start is on the way.
-    HastyProof,
-    /// A daemon that lost the job writes the outcome all the same.
+    /// A holder reports "never started" while its own start is in flight.
+    EarlyProof,
+    /// A daemon that lost the job to a take-over can still write the outcome.
     NoEpoch,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Daemon {
-    /// The token it believes to hold; 0 is none.
+    /// The fencing token that it believes to hold; 0 is none.
     token: u8,
-    /// The epoch under which it believes to run the job; 0 is none.
+    /// The epoch under which it believes to coordinate the job; 0 is none.
     epoch: u8,
-    /// An intent that it wrote and whose start it may send, with its token.
+    /// The attempt and token of an intent that it wrote and whose start it may send.
     may_send: Option<(u8, u8)>,
-    /// Whether it has the proof that the row's intent never started.
+    /// Whether it has proof that the intent in the row never started.
     proof: bool,
 }
 
@@ -49,19 +50,20 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// The highest token that the worker granted, and whether its lease runs.
+    /// The highest token that the worker granted; `held` is whether its lease is valid.
     token: u8,
     held: bool,
     started: [bool; ATTEMPTS as usize + 1],
     refused: [bool; ATTEMPTS as usize + 1],
     starts: u8,
-    /// The job's row.
+    /// The job's row: this and the next three fields.
     epoch: u8,
     coordinator: usize,
     intent: Option<(u8, u8)>,
     outcome: Outcome,
     daemons: [Daemon; 2],
-    /// Starts that were sent: attempt and token. They stay, since they may arrive twice.
+    /// Attempt and token of each start that was sent. Starts are never removed, because
+    /// they may arrive twice.
     sent: Vec<(u8, u8)>,
 }
 
@@ -84,23 +86,23 @@
         }
     }
 
-    fn broken(&self) -> Option<&'static str> {
+    fn violation(&self) -> Option<&'static str> {
         if self.starts > 1 {
             return Some("started twice");
         }
         (self.outcome == Outcome::NotRun && self.starts > 0)
-            .then_some("told as not run and started")
+            .then_some("reported as not run and started")
     }
 
-    fn next(&self, variant: Variant) -> Vec<(String, Self)> {
-        let mut all = Vec::new();
+    fn successors(&self, variant: Variant) -> Vec<(String, Self)> {
+        let mut successors = Vec::new();
         let mut add = |name: String, state: Self| {
             if state != *self {
-                all.push((name, state));
+                successors.push((name, state));
             }
         };
         if self.held {
-            add("the lease lapses".to_owned(), Self { held: false, ..self.clone() });
+            add("the lease expires".to_owned(), Self { held: false, ..self.clone() });
         }
         for (attempt, token) in &self.sent {
             add(
@@ -113,7 +115,7 @@
                 add(format!("daemon {who} {name}"), state);
             }
         }
-        all
+        successors
     }
 
     fn steps_of(&self, who: usize, variant: Variant) -> Vec<(&'static str, Self)> {
@@ -125,11 +127,11 @@
         if self.epoch < EPOCHS && self.outcome == Outcome::Open {
             steps.push(("takes the job over", self.take_over(who)));
         }
-        // Writes are compared with the row's version, which each epoch changes.
-        let writes = me.epoch == self.epoch && self.coordinator == who
+        // A write is conditional on the row's version, which each take-over changes.
+        let can_write = me.epoch == self.epoch && self.coordinator == who
             || variant == Variant::NoEpoch && me.epoch > 0;
-        let free = self.intent.is_none() || me.proof;
-        if writes && self.outcome == Outcome::Open && free {
+        let settled = self.intent.is_none() || me.proof;
+        if can_write && self.outcome == Outcome::Open && settled {
             steps.push((
                 "writes that it did not run",
                 Self { outcome: Outcome::NotRun, ..self.clone() },
@@ -188,8 +190,8 @@
         state
     }
 
-    /// The fence: only the newest token, only while its lease runs, and never
-    /// what was refused before under it.
+    /// Fencing at the worker: a start is accepted only with the newest token, only while
+    /// that token's lease is valid, and never if it was refused before under that token.
     fn deliver(&self, attempt: u8, token: u8, variant: Variant) -> Self {
         let mut state = self.clone();
         let index = usize::from(attempt);
@@ -205,7 +207,8 @@
         state
     }
 
-    /// The holder of the worker tells what became of the row's intent.
+    /// Asks the worker's holder what became of the intent in the row; `None` if there
+    /// is no intent, no holder or no answer yet.
     fn ask(&self, who: usize, variant: Variant) -> Option<Self> {
         let (attempt, token) = self.intent?;
         let holder = (0..2).find(|other| self.held && self.daemons[*other].token == self.token)?;
@@ -217,11 +220,11 @@
             return Some(state);
         }
         if self.token == token {
-            let on_the_way = self.sent.contains(&(attempt, token));
-            if on_the_way && variant != Variant::HastyProof {
+            let in_flight = self.sent.contains(&(attempt, token));
+            if in_flight && variant != Variant::EarlyProof {
                 return None;
             }
-            // From here on this holder will not send it.
+            // The holder will not send this start any more.
             if state.daemons[holder].may_send == Some((attempt, token)) {
                 state.daemons[holder].may_send = None;
             }
@@ -231,26 +234,26 @@
     }
 }
 
-/// Visits all states; gives their number or the shortest way to a broken one.
+/// Visits all states; returns their number, or the shortest trace to a violation.
 fn explore(variant: Variant) -> Result<usize, Vec<String>> {
     let first = State::first();
     let mut seen = HashSet::from([first.clone()]);
-    let mut came_from: HashMap<State, (State, String)> = HashMap::new();
+    let mut predecessors: HashMap<State, (State, String)> = HashMap::new();
     let mut queue = VecDeque::from([first]);
     while let Some(state) = queue.pop_front() {
-        if let Some(problem) = state.broken() {
-            let mut way = vec![problem.to_owned()];
-            let mut at = &state;
-            while let Some((before, step)) = came_from.get(at) {
-                way.push(step.clone());
-                at = before;
+        if let Some(violation) = state.violation() {
+            let mut trace = vec![violation.to_owned()];
+            let mut current = &state;
+            while let Some((previous, step)) = predecessors.get(current) {
+                trace.push(step.clone());
+                current = previous;
             }
-            way.reverse();
-            return Err(way);
+            trace.reverse();
+            return Err(trace);
         }
-        for (step, next) in state.next(variant) {
+        for (step, next) in state.successors(variant) {
             if seen.insert(next.clone()) {
-                came_from.insert(next.clone(), (state.clone(), step));
+                predecessors.insert(next.clone(), (state.clone(), step));
                 queue.push_back(next);
             }
         }
@@ -258,25 +261,25 @@
     Ok(seen.len())
 }
 
-/// A daemon pauses past its lease, another takes over its worker and its job,
-/// and the first one wakes up in the middle of a start. No order of these and
-/// of late messages may start a booking's work twice or make "not run" a lie.
+/// A daemon is paused past its lease, another takes over its worker and its job,
+/// and the first one resumes in the middle of a start. No order of these steps and
+/// of late messages may start the task twice, or report "not run" for one that started.
 #[test]
-fn no_interleaving_breaks_a_promise() {
-    let states = explore(Variant::Whole).expect("no broken state");
+fn no_interleaving_breaks_a_guarantee() {
+    let states = explore(Variant::Complete).expect("no violation");
     println!(
         "{states} states: 2 daemons, 1 worker, {TOKENS} tokens, {EPOCHS} epochs, {ATTEMPTS} attempts"
     );
-    assert!(states > 10_000, "only {states} states, the bounds prove little");
+    assert!(states > 10_000, "only {states} states: the bounds are too small");
 }
 
-/// Each part of the protocol is left out in turn, and the explorer must find
-/// the accident that this part prevents.
+/// Each part of the protocol is left out in turn, and the checker must find the
+/// violation that this part prevents.
 #[test]
-fn every_part_is_needed() {
-    for variant in [Variant::NoFence, Variant::NoIntent, Variant::HastyProof, Variant::NoEpoch] {
-        let way = explore(variant).expect_err("the broken variant is found out");
-        println!("{variant:?}:\n  {}", way.join("\n  "));
-        assert!(way.len() >= 4, "{variant:?} breaks only after several steps");
+fn every_protocol_part_is_needed() {
+    for variant in [Variant::NoFence, Variant::NoIntent, Variant::EarlyProof, Variant::NoEpoch] {
+        let trace = explore(variant).expect_err("the broken variant has a violation");
+        println!("{variant:?}:\n  {}", trace.join("\n  "));
+        assert!(trace.len() >= 4, "{variant:?} must break only after several steps");
     }
 }
--- a/crates/engine/tests/seeds.rs
+++ b/crates/engine/tests/seeds.rs
@@ -1,7 +1,7 @@
-//! Random schedules of work and failures; every promise must hold in each.
+//! Random schedules of work and failures; every guarantee must hold in each.
 //!
 //! `SEED=n cargo test -p stoatwell-engine --test seeds replay -- --nocapture`
-//! runs one again; with `TRACE=zone-a-w1` it prints every call to that worker.
+//! replays one schedule; with `TRACE=zone-a-w1` it prints every call to that worker.
 
 use std::collections::HashSet;
 use std::panic;
@@ -21,12 +21,12 @@
 use stoatwell_world::World;
 use stoatwell_world::layout::Layout;
 
-/// Schedules that every test run goes through.
+/// Number of schedules in a test run.
 const SEEDS: u64 = 10_000;
-/// How long work and failures come.
-const TROUBLE_MS: u64 = 12_000;
-/// How long everything has to come to its end after that.
-const CALM_MS: u64 = 60_000;
+/// How long work and failures are injected, in simulated time.
+const FAULT_PHASE_MS: u64 = 12_000;
+/// Simulated time after that in which all accepted work must end.
+const RECOVERY_PHASE_MS: u64 = 60_000;
 
 #[derive(Default)]
 struct Totals {
@@ -40,9 +40,10 @@
     requests: u64,
 }
 
-/// Daemons crash, pause and are cut off, the store fails and loses answers,
-/// workers die and messages get lost, all at random while work comes. A user
-/// would notice a double booking, a lost costing run, or a "not run" that ran.
+/// Daemons crash, pause and are cut off, the store fails and loses replies,
+/// workers die and messages get lost, all at random while work is submitted. This
+/// must not lead to a task that runs twice against its guarantee, a lost job, or
+/// a job reported as "not run" that ran.
 #[test]
 fn promises_hold_in_random_schedules() {
     let next = AtomicU64::new(0);
@@ -58,24 +59,24 @@
                         return totals;
                     }
                     let result = panic::catch_unwind(|| run_seed(seed));
-                    let Ok(one) = result else {
-                        panic!("seed {seed} breaks a promise; SEED={seed} replays it");
+                    let Ok(seed_totals) = result else {
+                        panic!("seed {seed} breaks a guarantee; SEED={seed} replays it");
                     };
-                    totals.add(&one);
+                    totals.add(&seed_totals);
                 }
             }));
         }
         handles.into_iter().map(|handle| handle.join().expect("no seed fails")).collect()
     });
     let mut sum = Totals::default();
-    for one in &totals {
-        sum.add(one);
+    for thread_totals in &totals {
+        sum.add(thread_totals);
     }
-    // A schedule in which nothing happens would prove nothing.
+    // Schedules in which nothing happens would not test anything.
     assert!(sum.done > SEEDS, "only {} jobs were done", sum.done);
     assert!(sum.starts > SEEDS && sum.requests > SEEDS);
     println!(
-        "{SEEDS} seeds: {} accepted, {} done, {} failed, {} not run, {} unknown, {} refused at the door, \
+        "{SEEDS} seeds: {} accepted, {} done, {} failed, {} not run, {} unknown, {} refused, \
          {} starts, {} requests",
         sum.accepted,
         sum.done,
@@ -88,7 +89,7 @@
     );
 }
 
-/// Runs the schedule that the environment names.
+/// Runs the schedule of the seed in the environment variable `SEED`, or of seed 0.
 #[test]
 fn replay() {
     let seed = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(0);
@@ -103,16 +104,16 @@
     let mut bookings = HashSet::new();
     let mut accepted = Vec::new();
     let mut tickets = Vec::new();
-    let end_ms = world.now_ms + TROUBLE_MS;
+    let end_ms = world.now_ms + FAULT_PHASE_MS;
     let mut number = 0;
     while world.now_ms < end_ms {
         let pause_ms = world.rng.random_range(10..400);
         world.run_ms(pause_ms);
         if world.rng.random_bool(0.65) {
             number += 1;
-            submit_one(&mut world, number, &mut bookings, &mut tickets);
+            submit_random(&mut world, number, &mut bookings, &mut tickets);
         } else {
-            break_something(&mut world, &layout);
+            inject_fault(&mut world, &layout);
         }
     }
     world.heal();
@@ -120,26 +121,27 @@
         world.restart(index);
     }
     world.run_ms(2_000);
-    give_back(&mut world, &layout);
-    world.run_ms(CALM_MS);
+    restore_targets(&mut world, &layout);
+    world.run_ms(RECOVERY_PHASE_MS);
     world.checker.check_once(&bookings);
     let mut totals = Totals::default();
     for (ticket, job) in tickets {
         match world.job_answer(ticket) {
             Some(Ok(_)) => accepted.push(job),
             Some(Err(_)) => totals.refused += 1,
-            // Its daemon died before it could answer.
+            // The daemon crashed before it could answer.
             None => {}
         }
     }
-    settle(&mut world, &accepted, &mut totals);
+    check_outcomes(&mut world, &accepted, &mut totals);
     totals.starts = world.checker.starts_seen;
     totals.requests = world.checker.requests_seen;
     totals
 }
 
-/// Every accepted job has a final outcome in the table, and a true one.
-fn settle(world: &mut World, accepted: &[JobId], totals: &mut Totals) {
+/// Checks that every accepted job has a final and true outcome in the table, and counts
+/// the outcomes.
+fn check_outcomes(world: &mut World, accepted: &[JobId], totals: &mut Totals) {
     for (_, value) in world.rows("job/") {
         let record: JobRecord = serde_json::from_str(&value).expect("a record");
         match &record.outcome {
@@ -163,7 +165,7 @@
     for job in accepted {
         totals.accepted += 1;
         let recorded = !world.row(&format!("job/{job}")).is_empty();
-        // Requests that may be repeated are answered without a record.
+        // Idempotent requests are answered without a record.
         assert!(
             recorded || world.checker.requests_of(*job) > 0 || world.checker.starts_of(*job) == 0
         );
@@ -181,7 +183,7 @@
     lines.join("\n")
 }
 
-fn submit_one(
+fn submit_random(
     world: &mut World,
     number: u32,
     bookings: &mut HashSet<JobId>,
@@ -204,9 +206,9 @@
     } else {
         format!(r#"{{"run_ms":{run_ms},"answer":"{marker}"}}"#)
     };
-    // A key is sent again now and then, at any daemon. Requests that may be
-    // repeated have no record, so each submission is answered for itself.
-    let again = world.rng.random_bool(0.1) && entry != "headcount";
+    // Some keys are submitted twice, at any daemon. Idempotent requests have no
+    // record, so each of their submissions would get an answer of its own.
+    let resubmit = world.rng.random_bool(0.1) && entry != "headcount";
     let key = format!("key-{number}");
     let node = world.rng.random_range(0..world.nodes.len());
     let job = JobId::of_key(&OwnerName::new("nyaysetu"), &key);
@@ -216,7 +218,7 @@
     let ticket = world.submit(node, entry, &key, tasks, &body);
     world.checker.expect_marker(ticket, if tasks == 1 { &marker } else { "" });
     tickets.push((ticket, job));
-    if again {
+    if resubmit {
         let other = world.rng.random_range(0..world.nodes.len());
         let ticket = world.submit(other, entry, &key, tasks, &body);
         world.checker.expect_marker(ticket, if tasks == 1 { &marker } else { "" });
@@ -229,13 +231,13 @@
     }
 }
 
-fn break_something(world: &mut World, layout: &Layout) {
+fn inject_fault(world: &mut World, layout: &Layout) {
     let node = world.rng.random_range(0..world.nodes.len());
     match world.rng.random_range(0..16) {
         0 | 1 => {
             world.crash(node);
-            let away_ms = world.rng.random_range(100..6_000);
-            world.restart_after(node, away_ms);
+            let down_ms = world.rng.random_range(100..6_000);
+            world.restart_after(node, down_ms);
         }
         2 | 3 => {
             let pause_ms = world.rng.random_range(100..5_000);
@@ -260,7 +262,7 @@
         10 => {
             let zone = world.nodes[node].identity.zone.clone();
             let workers = layout.worker_ids(zone.as_str());
-            // One worker of each zone stays, so that work can come to its end.
+            // At most one worker per zone is killed, so that work can end on the others.
             let dead = workers.iter().filter(|worker| world.dead_workers.contains(*worker)).count();
             if dead < 1 {
                 let worker = workers[world.rng.random_range(0..workers.len())].clone();
@@ -269,16 +271,16 @@
         }
         11 => {
             world.stop(node);
-            let away_ms = world.rng.random_range(3_000..8_000);
-            world.restart_after(node, away_ms);
+            let down_ms = world.rng.random_range(3_000..8_000);
+            world.restart_after(node, down_ms);
         }
         12 | 13 => change_target(world, layout, node),
         _ => world.heal(),
     }
 }
 
-/// Operators of both halves change their minds about targets, unconditionally
-/// or from what one of them saw a while ago.
+/// Changes a random target as an operator would, unconditionally or with an expected
+/// revision that may be stale.
 fn change_target(world: &mut World, layout: &Layout, node: usize) {
     if world.nodes[node].engine.is_none() {
         return;
@@ -293,13 +295,13 @@
     } else {
         TargetChange::Start { owner }
     };
-    let stale = world.rng.random_range(1..30);
-    let expected = world.rng.random_bool(0.3).then_some(stale);
+    let old_revision = world.rng.random_range(1..30);
+    let expected = world.rng.random_bool(0.3).then_some(old_revision);
     world.edit(node, &target_key(&worker), EditKind::Target(worker, change), expected);
 }
 
-/// Gives all targets back, so that everything accepted can come to its end.
-fn give_back(world: &mut World, layout: &Layout) {
+/// Returns all targets to the owner of the submitted work, so that it can end.
+fn restore_targets(world: &mut World, layout: &Layout) {
     for zone in layout.zones() {
         for worker in layout.worker_ids(&zone) {
             let change = TargetChange::Start { owner: OwnerName::new("nyaysetu") };
