--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -391,7 +391,10 @@
         }
         // The job was taken over from another daemon: its body is not here, and no
         // caller waits for the answer.
-        self.finish_request(id, not_run(Code::NoMinion, "the daemon that accepted it was replaced"));
+        self.finish_request(
+            id,
+            not_run(Code::NoMinion, "the daemon that accepted it was replaced"),
+        );
     }
 
     pub(crate) fn serve_waiting_requests(&mut self) {
