--- a/crates/engine/src/commit.rs
+++ b/crates/engine/src/commit.rs
@@ -1,4 +1,4 @@
-//! Records on their way to the platform's table.
+//! Writes job records to the platform's table and handles the results.
 
 use stoatwell_ledger::CommitResult;
 use stoatwell_ledger::rows;
@@ -66,15 +66,15 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let first = !job.accepted;
+        let newly_accepted = !job.accepted;
         job.accepted = true;
-        if job.leaving {
+        if job.handing_over {
             self.on_handed_over(id);
             return;
         }
-        let taken_over = job.find_ms.is_some();
+        let taken_over = job.discovery_due_ms.is_some();
         self.drive(id, |machine, now_ms| machine.on_written(now_ms, version));
-        if first {
+        if newly_accepted {
             self.on_accepted(id, taken_over);
         }
     }
@@ -83,20 +83,20 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let accepting = std::mem::take(&mut job.accepting);
+        let acceptance_waiters = std::mem::take(&mut job.acceptance_waiters);
         let waiting = job.machine.waiting();
         let is_request = job.machine.record.class == Class::Request;
-        for (ticket, wait_ms) in accepting {
-            self.wait_for(id, ticket, wait_ms);
+        for (ticket, wait_ms) in acceptance_waiters {
+            self.wait_for_outcome(id, ticket, wait_ms);
         }
-        // What was taken over looks for its running tasks first.
+        // A job that was taken over first looks for its tasks that already run.
         if !taken_over && !is_request && !waiting.is_empty() {
             self.enqueue(id, waiting);
         }
     }
 
-    /// Somebody else wrote the record: another daemon accepted the same key
-    /// first, or took the job over because this one seemed dead.
+    /// Another daemon wrote the record: it accepted the same key first, or took
+    /// the job over because this daemon seemed dead.
     pub(crate) fn on_conflict(&mut self, id: JobId, row: &str) {
         let Some(mut job) = self.jobs.remove(&id) else {
             return;
@@ -105,24 +105,26 @@
         self.remote.forget_job(id);
         self.drop_request_of(&job);
         let record: Option<JobRecord> = serde_json::from_str(row).ok();
-        let same = record
+        let same_content = record
             .as_ref()
             .is_some_and(|found| found.content_hash == job.machine.record.content_hash);
-        for (ticket, wait_ms) in std::mem::take(&mut job.accepting) {
+        for (ticket, wait_ms) in std::mem::take(&mut job.acceptance_waiters) {
             match &record {
-                Some(_) if !same => self.answer_job(ticket, Err(Failure::new(Code::KeyReused))),
+                Some(_) if !same_content => {
+                    self.answer_job(ticket, Err(Failure::new(Code::KeyReused)));
+                }
                 Some(found) => self.answer_from_record(ticket, found.clone(), wait_ms),
                 None => self.answer_job(ticket, Err(Failure::new(Code::Internal))),
             }
         }
-        for (ticket, until_ms) in job.waiters {
+        for (ticket, until_ms) in job.outcome_waiters {
             let wait_ms = until_ms.saturating_sub(self.now_ms);
             self.look_up(Lookup::Status { ticket, caller: Caller::Operator, job: id, wait_ms });
         }
     }
 
-    /// Another daemon runs the job by now; this one had not noticed.
-    pub(crate) fn lose_job(&mut self, id: JobId, row: &str) {
+    /// Drops a job that another daemon has taken over without this one noticing.
+    pub(crate) fn abandon_job(&mut self, id: JobId, row: &str) {
         self.on_conflict(id, row);
     }
 
@@ -138,7 +140,7 @@
             return;
         };
         self.drop_request_of(&job);
-        for (ticket, _) in job.accepting {
+        for (ticket, _) in job.acceptance_waiters {
             self.answer_job(ticket, Err(Failure::new(Code::StoreUnavailable).retry_after(1_000)));
         }
     }
--- a/crates/engine/src/gangs.rs
+++ b/crates/engine/src/gangs.rs
@@ -30,7 +30,7 @@
             let Some(placement) = self.scheduler.place_task(self.now_ms, waiting, *attempt) else {
                 break;
             };
-            if let Some(token) = self.holdings.token(self.now_ms, &placement.worker) {
+            if let Some(token) = self.leases.token(self.now_ms, &placement.worker) {
                 placed.push((*attempt, placement.worker, token));
             } else {
                 self.scheduler.release_unstarted(self.now_ms, *attempt);
@@ -75,7 +75,7 @@
             }
         }
         for (holder, attempts) in by_holder {
-            self.call_peer(PeerOp::Notice, &holder, PeerCall::Unreserve { attempts });
+            self.call_peer(PeerOp::Notification, &holder, PeerCall::Unreserve { attempts });
         }
         self.enqueue(id, gang.attempts);
     }
--- a/crates/engine/src/inquiry.rs
+++ b/crates/engine/src/inquiry.rs
@@ -19,9 +19,9 @@
 use stoatwell_platform::CallError;
 
 use crate::Engine;
+use crate::message::Observation;
 use crate::message::PeerCall;
 use crate::message::PeerReply;
-use crate::message::Seen;
 use crate::message::TaskReply;
 use crate::ops::PeerOp;
 use crate::sweep::attempts_of;
@@ -39,7 +39,7 @@
         let now_ms = self.now_ms;
         let mut due = Vec::new();
         for (id, job) in &self.jobs {
-            if job.accepted && !job.leaving && job.inquire_ms <= now_ms {
+            if job.accepted && !job.handing_over && job.inquire_not_before_ms <= now_ms {
                 due.push(*id);
             }
         }
@@ -72,11 +72,11 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.find_ms.is_some() || job.finding > 0 {
+        if job.discovery_due_ms.is_some() || job.pending_discoveries > 0 {
             return;
         }
         let in_doubt = job.machine.in_doubt();
-        job.inquire_ms =
+        job.inquire_not_before_ms =
             now_ms + if in_doubt.is_empty() { RUNNING_INQUIRY_MS } else { IN_DOUBT_INQUIRY_MS };
         let mut attempts = in_doubt;
         attempts.extend(job.machine.active());
@@ -89,7 +89,7 @@
             if let Some(seen) = self.observe_attempt(attempt, &worker, token) {
                 self.on_observation(attempt, &worker, seen);
             } else if self.is_worker_gone(&worker) {
-                self.on_observation(attempt, &worker, Seen::Forgotten);
+                self.on_observation(attempt, &worker, Observation::Forgotten);
             } else {
                 inquiries.push((attempt, worker, token));
             }
@@ -102,24 +102,24 @@
         attempt: AttemptId,
         worker: &WorkerId,
         token: Token,
-    ) -> Option<Seen> {
-        self.holdings.token(self.now_ms, worker)?;
+    ) -> Option<Observation> {
+        self.leases.token(self.now_ms, worker)?;
         let held = self.held.get_mut(worker)?;
         if let Some(task) = held.tasks.get(&attempt) {
-            return Some(Seen::State(task.state.clone()));
+            return Some(Observation::State(task.state.clone()));
         }
         if held.has_attempt(attempt) {
-            return Some(Seen::Pending);
+            return Some(Observation::Pending);
         }
         // A worker whose token is lower than the intent's has restarted and lost its
         // state, so the missing report doesn't prove that the attempt never ran.
         if held.token < token {
-            return Some(Seen::Forgotten);
+            return Some(Observation::Forgotten);
         }
         // Releasing its capacity and its reservation ensures that it cannot start later.
         self.remote.remove_grant(attempt);
         self.release_unstarted(attempt);
-        Some(Seen::Absent)
+        Some(Observation::Absent)
     }
 
     pub(crate) fn on_inquiry(
@@ -164,15 +164,15 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.find_ms.is_none_or(|due_ms| due_ms > now_ms) {
+        if job.discovery_due_ms.is_none_or(|due_ms| due_ms > now_ms) {
             return;
         }
-        job.find_ms = None;
+        job.discovery_due_ms = None;
         let coordinator = self.me.daemon.clone();
         let own_replies = self.held_attempts_of(&coordinator, id);
         let peers = self.zone_peers();
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.finding = peers.len() as u32 + 1;
+            job.pending_discoveries = peers.len() as u32 + 1;
         }
         for peer in &peers {
             let call = PeerCall::Find { coordinator: coordinator.clone(), jobs: vec![id] };
@@ -190,7 +190,7 @@
         for (worker, held) in &mut self.held {
             for (attempt, task) in held.tasks.range_mut(attempts_of(id)) {
                 task.coordinator = coordinator.clone();
-                let seen = Seen::State(task.state.clone());
+                let seen = Observation::State(task.state.clone());
                 replies.push(TaskReply { attempt: *attempt, worker: worker.clone(), seen });
             }
         }
@@ -219,11 +219,11 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.finding == 0 {
+        if job.pending_discoveries == 0 {
             return;
         }
-        job.finding -= 1;
-        if job.finding > 0 {
+        job.pending_discoveries -= 1;
+        if job.pending_discoveries > 0 {
             return;
         }
         let waiting = job.machine.waiting();
@@ -275,9 +275,9 @@
     pub(crate) fn record_missing_workers(&mut self, all_zones: bool) {
         let now_ms = self.now_ms;
         let listed = &self.worker_zones;
-        self.gone.retain(|worker, _| !listed.contains_key(worker));
+        self.missing_since.retain(|worker, _| !listed.contains_key(worker));
         let mut missing = Vec::new();
-        for (worker, _) in self.holdings.all() {
+        for (worker, _) in self.leases.all() {
             if !listed.contains_key(worker) {
                 missing.push(worker.clone());
             }
@@ -287,7 +287,7 @@
             missing.extend(workers.into_iter().filter(|worker| !listed.contains_key(worker)));
         }
         for worker in missing {
-            self.gone.entry(worker).or_insert(now_ms);
+            self.missing_since.entry(worker).or_insert(now_ms);
         }
     }
 
@@ -296,7 +296,7 @@
     pub(crate) fn is_worker_gone(&self, worker: &WorkerId) -> bool {
         let leases = &self.settings.leases;
         let wait_ms: UnixMs = leases.ttl_ms + leases.orphan_ms + GONE_MARGIN_MS;
-        self.gone.get(worker).is_some_and(|since_ms| self.now_ms >= since_ms + wait_ms)
+        self.missing_since.get(worker).is_some_and(|since_ms| self.now_ms >= since_ms + wait_ms)
     }
 
     pub(crate) fn on_remote_stop(
--- a/crates/engine/src/jobs.rs
+++ b/crates/engine/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Accepted work: carrying out what each job's machine asks for.
+//! Accepted jobs: executes the effects of each job's state machine.
 
 use std::collections::BTreeMap;
 
@@ -21,39 +21,41 @@
 use stoatwell_placement::WaitingJob;
 
 use crate::Engine;
-use crate::RECENT_MAX;
-use crate::TASKS_PER_PASS;
+use crate::FINISHED_JOBS_MAX;
+use crate::TASKS_PER_CYCLE;
 use crate::message::Answer;
 use crate::message::Effect;
+use crate::message::Observation;
 use crate::message::PeerCall;
-use crate::message::Seen;
 use crate::message::Ticket;
 use crate::ops::PeerOp;
 
-/// One job that runs here.
+/// One job that this daemon coordinates.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) machine: JobMachine,
-    /// What to run; kept here also where the record names an object.
+    /// What to run; also set if the record stores the body as an object.
     pub(crate) body: String,
-    /// Whether its record is durable.
+    /// Whether the record is durable.
     pub(crate) accepted: bool,
-    /// Callers that wait for the acceptance, each with how long it then waits on.
-    pub(crate) accepting: Vec<(Ticket, u64)>,
-    /// When those callers are told that nothing is known.
+    /// Callers that wait for acceptance, each with the time it then waits for the outcome.
+    pub(crate) acceptance_waiters: Vec<(Ticket, u64)>,
+    /// When the first write of the record is given up; a store timeout later the callers
+    /// that wait for acceptance are told that it is unknown.
     pub(crate) accept_until_ms: UnixMs,
-    /// Callers that wait for the outcome, each until a time.
-    pub(crate) waiters: Vec<(Ticket, UnixMs)>,
-    /// Workers are not asked about its tasks before this time.
-    pub(crate) inquire_ms: UnixMs,
-    /// When a job that was taken over looks for its running tasks.
-    pub(crate) find_ms: Option<UnixMs>,
-    /// Daemons that have yet to say which of its tasks they have.
-    pub(crate) finding: u32,
-    /// The request that it is, where its class is that.
+    /// Callers that wait for the outcome, each with its deadline.
+    pub(crate) outcome_waiters: Vec<(Ticket, UnixMs)>,
+    /// Earliest time for the next inquiry about its tasks.
+    pub(crate) inquire_not_before_ms: UnixMs,
+    /// When a job that was taken over searches for its running tasks; `None` for others
+    /// and once the search began.
+    pub(crate) discovery_due_ms: Option<UnixMs>,
+    /// Daemons that have not yet reported which of its tasks are on their workers.
+    pub(crate) pending_discoveries: u32,
+    /// The id of the open request, if its class is request.
     pub(crate) request: Option<u64>,
-    /// Whether it is being handed over to another daemon.
-    pub(crate) leaving: bool,
+    /// Whether the job is being handed over to another daemon.
+    pub(crate) handing_over: bool,
 }
 
 impl Job {
@@ -62,37 +64,37 @@
             machine,
             body,
             accepted: false,
-            accepting: Vec::new(),
+            acceptance_waiters: Vec::new(),
             accept_until_ms: 0,
-            waiters: Vec::new(),
-            inquire_ms: 0,
-            find_ms: None,
-            finding: 0,
+            outcome_waiters: Vec::new(),
+            inquire_not_before_ms: 0,
+            discovery_due_ms: None,
+            pending_discoveries: 0,
             request: None,
-            leaving: false,
+            handing_over: false,
         }
     }
 }
 
 impl Engine {
-    /// Carries out what a machine asked for.
-    pub(crate) fn run(&mut self, id: JobId, effects: Vec<JobEffect>) {
+    /// Executes the effects that a job's state machine returned.
+    pub(crate) fn apply_effects(&mut self, id: JobId, effects: Vec<JobEffect>) {
         for effect in effects {
             match effect {
                 JobEffect::Enqueue(attempts) => self.enqueue(id, attempts),
-                JobEffect::Start(attempts) => self.start(id, &attempts),
-                JobEffect::Stop(attempts) => self.stop(id, &attempts),
+                JobEffect::Start(attempts) => self.start_attempts(id, &attempts),
+                JobEffect::Stop(attempts) => self.stop_attempts(id, &attempts),
                 JobEffect::Dequeue => {
                     self.scheduler.withdraw(id);
-                    self.drop_waiting_request(id);
+                    self.drop_unsent_request(id);
                 }
                 JobEffect::Write => self.write_job(id),
-                JobEffect::Finished => self.finish(id),
+                JobEffect::Finished => self.on_outcome_durable(id),
             }
         }
     }
 
-    /// Feeds one event to a job's machine and carries out the rest.
+    /// Applies one step to a job's state machine and executes the resulting effects.
     pub(crate) fn drive(
         &mut self,
         id: JobId,
@@ -103,22 +105,22 @@
             return;
         };
         let effects = step(&mut job.machine, now_ms);
-        self.run(id, effects);
+        self.apply_effects(id, effects);
     }
 
     pub(crate) fn enqueue(&mut self, id: JobId, attempts: Vec<AttemptId>) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        if job.leaving || !job.accepted {
+        if job.handing_over || !job.accepted {
             return;
         }
         if job.machine.record.class == Class::Request {
             self.requeue_request(id);
             return;
         }
-        // Room may have been asked elsewhere for what was placed here meanwhile;
-        // queued once more it would start on a second worker.
+        // While a reservation at a peer was pending, an attempt may have been placed
+        // here. Queuing it again would start it on a second worker.
         let machine = &job.machine;
         let attempts: Vec<AttemptId> =
             attempts.into_iter().filter(|attempt| machine.is_waiting(*attempt)).collect();
@@ -130,9 +132,9 @@
         self.schedule_due = true;
     }
 
-    /// Places what waits and starts it.
+    /// Runs one scheduling cycle and starts what was placed.
     pub(crate) fn schedule(&mut self) {
-        for decision in self.scheduler.schedule(self.now_ms, TASKS_PER_PASS) {
+        for decision in self.scheduler.schedule(self.now_ms, TASKS_PER_CYCLE) {
             match decision {
                 Decision::Start { job, tasks } => self.on_placed(job, tasks),
                 Decision::Expired { job, tasks } => {
@@ -151,12 +153,12 @@
                 self.queue_stop(&task.worker, *victim, StopMode::Checkpoint);
                 evicted += 1;
             }
-            match self.holdings.token(self.now_ms, &task.worker) {
+            match self.leases.token(self.now_ms, &task.worker) {
                 Some(token) => placed.push((task.attempt, task.worker.clone(), token)),
                 None => unplaced.push(task.attempt),
             }
         }
-        // A lease that ran out just now; the task waits for another worker.
+        // The lease on the worker has just expired; the task waits for another worker.
         for attempt in unplaced {
             self.scheduler.release_unstarted(self.now_ms, attempt);
             self.enqueue(id, vec![attempt]);
@@ -165,22 +167,25 @@
             && let Some(first) = tasks.first()
         {
             let count = tasks.len();
-            let room = if evicted > 0 {
-                format!("after {evicted} patient tasks gave way")
+            let placement_note = if evicted > 0 {
+                format!("after {evicted} patient tasks were evicted")
             } else {
-                "which kept the least unused room".to_owned()
+                "which leaves the least unused capacity".to_owned()
             };
-            job.machine.note(format!("{count} tasks placed, the first on {} {room}", first.worker));
+            job.machine.note(format!(
+                "{count} tasks placed, the first on {} {placement_note}",
+                first.worker
+            ));
         }
         self.drive(id, |machine, now_ms| machine.on_placed(now_ms, &placed));
     }
 
-    fn start(&mut self, id: JobId, attempts: &[AttemptId]) {
+    fn start_attempts(&mut self, id: JobId, attempts: &[AttemptId]) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
         if job.machine.record.class == Class::Request {
-            self.ask_recorded(id);
+            self.send_recorded_request(id);
             return;
         }
         let record = &job.machine.record;
@@ -206,24 +211,24 @@
             };
             starts.push((worker, start));
         }
-        let mut absent = Vec::new();
+        let mut unsent = Vec::new();
         for (worker, start) in starts {
             let attempt = start.attempt;
             if self.remote.is_reserved(attempt) {
                 self.remote.queue_start(worker, start);
             } else if !self.queue_start(&worker, start) {
-                absent.push((attempt, worker));
+                unsent.push((attempt, worker));
             }
         }
         self.send_remote_starts();
-        // The worker was lost before the start was sent, so it did not start.
-        for (attempt, worker) in absent {
+        // The worker's lease was lost before the start was sent, so it did not start.
+        for (attempt, worker) in unsent {
             self.release_unstarted(attempt);
-            self.on_observation(attempt, &worker, Seen::Absent);
+            self.on_observation(attempt, &worker, Observation::Absent);
         }
     }
 
-    fn stop(&mut self, id: JobId, attempts: &[AttemptId]) {
+    fn stop_attempts(&mut self, id: JobId, attempts: &[AttemptId]) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
@@ -231,75 +236,76 @@
         for attempt in attempts {
             stops.extend(job.machine.worker_of(*attempt).map(|worker| (*attempt, worker)));
         }
-        let mut elsewhere = Vec::new();
+        let mut on_other_holders = Vec::new();
         for (attempt, worker) in stops {
             if !self.queue_stop(&worker, attempt, StopMode::Stop) {
-                elsewhere.push((attempt, worker));
+                on_other_holders.push((attempt, worker));
             }
         }
-        if elsewhere.is_empty() {
+        if on_other_holders.is_empty() {
             return;
         }
-        // Only the holder of each worker acts on it.
-        let of = |(_, worker): &(AttemptId, WorkerId)| worker.clone();
-        for (peer, attempts) in self.group_by_daemon(&elsewhere, of) {
+        // Only the daemon that holds a worker can stop tasks on it.
+        let worker_of = |(_, worker): &(AttemptId, WorkerId)| worker.clone();
+        for (peer, attempts) in self.group_by_daemon(&on_other_holders, worker_of) {
             let call = PeerCall::Stop { attempts, mode: StopMode::Stop };
-            self.call_peer(PeerOp::Notice, &peer, call);
+            self.call_peer(PeerOp::Notification, &peer, call);
         }
     }
 
-    /// The outcome is durable.
-    fn finish(&mut self, id: JobId) {
+    /// Answers the waiting callers and cleans up, now that the outcome is durable.
+    fn on_outcome_durable(&mut self, id: JobId) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
         };
         self.scheduler.withdraw(id);
         self.remote.forget_job(id);
         let view = job.machine.view(Vec::new());
-        for (ticket, _) in job.waiters.iter().chain(&job.accepting) {
+        for (ticket, _) in job.outcome_waiters.iter().chain(&job.acceptance_waiters) {
             self.answer_job(*ticket, Ok(view.clone()));
         }
         let attempts = job.machine.attempts_with_workers();
-        self.remember(view);
+        self.remember_finished(view);
         self.clean_up_job_tasks(id);
-        self.acknowledge_elsewhere(attempts);
+        self.acknowledge_at_holders(attempts);
     }
 
-    fn acknowledge_elsewhere(&mut self, mut attempts: BTreeMap<AttemptId, WorkerId>) {
+    fn acknowledge_at_holders(&mut self, mut attempts: BTreeMap<AttemptId, WorkerId>) {
         attempts.retain(|_, worker| !self.held.contains_key(worker));
         if attempts.is_empty() {
             return;
         }
         let attempts: Vec<(AttemptId, WorkerId)> = attempts.into_iter().collect();
-        let of = |(_, worker): &(AttemptId, WorkerId)| worker.clone();
-        for (peer, attempts) in self.group_by_daemon(&attempts, of) {
-            self.call_peer(PeerOp::Notice, &peer, PeerCall::Acknowledge { attempts });
+        let worker_of = |(_, worker): &(AttemptId, WorkerId)| worker.clone();
+        for (peer, attempts) in self.group_by_daemon(&attempts, worker_of) {
+            self.call_peer(PeerOp::Notification, &peer, PeerCall::Acknowledge { attempts });
         }
     }
 
-    pub(crate) fn remember(&mut self, view: JobView) {
+    pub(crate) fn remember_finished(&mut self, view: JobView) {
         let id = view.job;
-        if self.recent.insert(id, view).is_none() {
-            self.recent_order.push_back(id);
+        if self.finished_jobs.insert(id, view).is_none() {
+            self.finished_order.push_back(id);
         }
-        if self.recent_order.len() > RECENT_MAX
-            && let Some(oldest) = self.recent_order.pop_front()
+        if self.finished_order.len() > FINISHED_JOBS_MAX
+            && let Some(oldest) = self.finished_order.pop_front()
         {
-            self.recent.remove(&oldest);
+            self.finished_jobs.remove(&oldest);
         }
     }
 
-    /// Lets a caller wait for the outcome, or answers at once.
-    pub(crate) fn wait_for(&mut self, id: JobId, ticket: Ticket, wait_ms: u64) {
+    /// Lets a caller wait for the outcome; answers at once if `wait_ms` is 0 or the job
+    /// does not run here.
+    pub(crate) fn wait_for_outcome(&mut self, id: JobId, ticket: Ticket, wait_ms: u64) {
         let until_ms = self.now_ms + wait_ms.min(self.settings.http.wait_max_ms);
         if wait_ms > 0
             && let Some(job) = self.jobs.get_mut(&id)
         {
-            job.waiters.push((ticket, until_ms));
+            job.outcome_waiters.push((ticket, until_ms));
             return;
         }
         let view = self.view(id);
-        let view = view.or_else(|| self.recent.get(&id).cloned());
+        let view = view.or_else(|| self.finished_jobs.get(&id).cloned());
         self.answer_job(ticket, view.ok_or_else(|| Failure::new(Code::NoSuchJob)));
     }
 
@@ -311,13 +317,13 @@
             if !job.accepted
                 && job.accept_until_ms + self.settings.platform.store_timeout_ms <= now_ms
             {
-                unknown.extend(std::mem::take(&mut job.accepting));
+                unknown.extend(std::mem::take(&mut job.acceptance_waiters));
             }
-            let (over, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut job.waiters)
+            let (expired, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut job.outcome_waiters)
                 .into_iter()
                 .partition(|(_, until_ms)| *until_ms <= now_ms);
-            job.waiters = waiting;
-            due.extend(over.into_iter().map(|(ticket, _)| (ticket, *id)));
+            job.outcome_waiters = waiting;
+            due.extend(expired.into_iter().map(|(ticket, _)| (ticket, *id)));
         }
         for (ticket, _) in unknown {
             self.answer_job(ticket, Err(Failure::new(Code::AcceptanceUnknown).retry_after(1_000)));
@@ -328,11 +334,11 @@
         }
     }
 
-    /// How a job that runs here is.
+    /// The current state of a job that this daemon coordinates.
     pub(crate) fn view(&mut self, id: JobId) -> Option<JobView> {
-        let waits = self.scheduler.pending_reasons(self.now_ms, id);
+        let reasons = self.scheduler.pending_reasons(self.now_ms, id);
         let job = self.jobs.get(&id)?;
-        Some(job.machine.view(waits))
+        Some(job.machine.view(reasons))
     }
 
     pub(crate) fn answer_job(&mut self, ticket: Ticket, result: Result<JobView, Failure>) {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,13 +1,14 @@
-//! The whole decision logic of a daemon: events and time in, effects out.
+//! The decision logic of a daemon: events and the current time in, effects out.
 //!
-//! [`Engine::handle`] takes one event and the time and gives the calls to make
-//! and the answers to send. It never waits, reads no clock and draws no random
-//! numbers, so tests replay any schedule of failures by feeding it the same
-//! events. A thin shell carries the effects out and feeds the results back.
+//! [`Engine::handle`] takes one event and the current time and returns the calls
+//! to make and the answers to send. It never blocks, reads no clock and uses no
+//! random numbers, so tests can replay any schedule of failures by feeding it
+//! the same events. The daemon executes the effects and feeds their results back.
 //!
-//! The modules follow the duties of a daemon: [`worker_leases`](crate) keeps leases
-//! on workers, `jobs` runs accepted work, `requests` answers through minions,
-//! `sweep` takes over what dead daemons left, `peers` talks to the others.
+//! Each module covers one responsibility of a daemon: [`worker_leases`](crate)
+//! keeps leases on workers, `jobs` runs accepted work, `requests` serves
+//! requests through minions, `sweep` takes over the jobs of dead daemons, and
+//! `peers` exchanges state with other daemons.
 
 mod catalogue;
 mod commit;
@@ -68,24 +69,24 @@
 pub use crate::message::Effect;
 pub use crate::message::Event;
 pub use crate::message::JobMeta;
+pub use crate::message::Observation;
 pub use crate::message::OpId;
 pub use crate::message::PeerCall;
 pub use crate::message::PeerReply;
 pub use crate::message::Reservation;
-pub use crate::message::Seen;
 pub use crate::message::SubmitCall;
 pub use crate::message::TaskReply;
 pub use crate::message::Ticket;
-pub use crate::message::ZoneNews;
+pub use crate::message::ZoneUpdate;
 
-/// Finished jobs whose views are kept for callers that ask again.
-const RECENT_MAX: usize = 4_096;
-/// Failed calls to the store in a row after which nothing new is written to it.
+/// Finished jobs whose views are kept in memory for callers that ask again.
+const FINISHED_JOBS_MAX: usize = 4_096;
+/// Consecutive failed store calls after which work that has to be recorded is rejected.
 const STORE_FAILURES_MAX: u32 = 3;
-/// Tasks placed in one pass.
-const TASKS_PER_PASS: usize = 4_096;
+/// Maximum number of tasks placed in one scheduling cycle.
+const TASKS_PER_CYCLE: usize = 4_096;
 
-/// The state of one daemon.
+/// The state of one daemon, advanced by events.
 #[derive(Debug)]
 pub struct Engine {
     me: Identity,
@@ -93,63 +94,63 @@
     now_ms: UnixMs,
     effects: Vec<Effect>,
     ops: Ops,
-    write_ids: u64,
+    last_write_id: u64,
 
     catalogue: Catalogue,
-    follow: CatalogueWatcher,
+    catalogue_watcher: CatalogueWatcher,
     applied_revision: u64,
-    /// Whether shares of quotas have to be worked out anew.
-    shares_due: bool,
-    retargeting: BTreeMap<WorkerId, UnixMs>,
+    /// Whether the local shares of quotas and limits have to be recomputed.
+    quota_shares_due: bool,
+    handover_sent_ms: BTreeMap<WorkerId, UnixMs>,
 
     members: Members,
     zones: BTreeMap<ZoneName, ZoneState>,
-    telling: Announcements,
+    announcements: Announcements,
     next_heartbeat_ms: UnixMs,
     next_relay_ms: UnixMs,
-    next_list_ms: UnixMs,
-    listing: bool,
-    listed_ms: UnixMs,
+    next_instance_list_ms: UnixMs,
+    instance_list_pending: bool,
+    instance_list_read_ms: UnixMs,
     worker_zones: HashMap<WorkerId, ZoneName>,
-    gone: BTreeMap<WorkerId, UnixMs>,
+    missing_since: BTreeMap<WorkerId, UnixMs>,
 
-    holdings: LeaseTable,
+    leases: LeaseTable,
     held: BTreeMap<WorkerId, HeldWorker>,
     remote: Remote,
 
     leases_checked_ms: UnixMs,
-    calls_due: bool,
+    worker_calls_due: bool,
 
     scheduler: Scheduler,
     schedule_due: bool,
     jobs: BTreeMap<JobId, Job>,
-    recent: HashMap<JobId, JobView>,
-    recent_order: VecDeque<JobId>,
+    finished_jobs: HashMap<JobId, JobView>,
+    finished_order: VecDeque<JobId>,
     committer: Committer,
-    /// Calls to the store in a row that brought nothing.
+    /// Consecutive store calls that failed.
     store_failures: u32,
     sweep: Sweep,
 
     minions: Minions,
-    budget: RetryBudget,
+    retry_budget: RetryBudget,
     requests: BTreeMap<u64, Request>,
-    waiting: RequestQueue,
-    next_request: u64,
+    request_queue: RequestQueue,
+    next_request_id: u64,
 
     stopping: bool,
     stopped: bool,
 }
 
 impl Engine {
-    /// A daemon that has just started.
+    /// Creates the state of a daemon that has just started.
     pub fn new(me: Identity, settings: Settings, now_ms: UnixMs) -> Self {
         let policy = Policy { reserve_ms: settings.queue.gang_reserve_ms, ..Policy::default() };
-        let leases = &settings.leases;
-        let holdings = LeaseTable::new(
+        let lease_settings = &settings.leases;
+        let leases = LeaseTable::new(
             me.daemon.clone(),
-            leases.ttl_ms,
-            leases.renew_wait_ms,
-            leases.moves_per_second,
+            lease_settings.ttl_ms,
+            lease_settings.renew_wait_ms,
+            lease_settings.moves_per_second,
         );
         let members = Members::new(me.clone(), settings.membership.silent_after_ms, now_ms);
         let seed = format!("{}/{}", me.daemon, me.incarnation);
@@ -158,32 +159,32 @@
             now_ms,
             effects: Vec::new(),
             ops: Ops::default(),
-            write_ids: xxh3_64(seed.as_bytes()),
+            last_write_id: xxh3_64(seed.as_bytes()),
             catalogue: Catalogue::default(),
-            follow: CatalogueWatcher::new(settings.catalogue.poll_ms),
+            catalogue_watcher: CatalogueWatcher::new(settings.catalogue.poll_ms),
             applied_revision: 0,
-            shares_due: false,
-            retargeting: BTreeMap::new(),
+            quota_shares_due: false,
+            handover_sent_ms: BTreeMap::new(),
             members,
             zones: BTreeMap::new(),
-            telling: Announcements::default(),
+            announcements: Announcements::default(),
             next_heartbeat_ms: 0,
             next_relay_ms: 0,
-            next_list_ms: 0,
-            listing: false,
-            listed_ms: 0,
+            next_instance_list_ms: 0,
+            instance_list_pending: false,
+            instance_list_read_ms: 0,
             worker_zones: HashMap::new(),
-            gone: BTreeMap::new(),
-            holdings,
+            missing_since: BTreeMap::new(),
+            leases,
             held: BTreeMap::new(),
             remote: Remote::default(),
             scheduler: Scheduler::new(policy),
             leases_checked_ms: 0,
-            calls_due: false,
+            worker_calls_due: false,
             schedule_due: false,
             jobs: BTreeMap::new(),
-            recent: HashMap::new(),
-            recent_order: VecDeque::new(),
+            finished_jobs: HashMap::new(),
+            finished_order: VecDeque::new(),
             committer: Committer::new(
                 settings.ledger.rows_per_commit,
                 settings.ledger.commits_per_second,
@@ -191,10 +192,10 @@
             store_failures: 0,
             sweep: Sweep::default(),
             minions: Minions::new(routing.breaker_failures, routing.breaker_open_ms),
-            budget: RetryBudget::new(routing.retry_permille),
+            retry_budget: RetryBudget::new(routing.retry_permille),
             requests: BTreeMap::new(),
-            waiting: RequestQueue::default(),
-            next_request: 0,
+            request_queue: RequestQueue::default(),
+            next_request_id: 0,
             stopping: false,
             stopped: false,
             me,
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Takes one event; gives what has to be done because of it.
+    /// Processes one event and returns the effects that the caller has to execute.
     pub fn handle(&mut self, now_ms: UnixMs, event: Event) -> Vec<Effect> {
         self.now_ms = self.now_ms.max(now_ms);
         self.check_leases(matches!(event, Event::Tick));
@@ -218,7 +219,7 @@
             Event::Edit { ticket, key, edit, expected, by } => {
                 self.on_edit(ticket, key, edit, expected, by);
             }
-            Event::Store { ticket, call } => self.on_store_question(ticket, call),
+            Event::Store { ticket, call } => self.on_store_query(ticket, call),
             Event::Peer { ticket, call } => self.on_peer_call(ticket, call),
             Event::StoreDone { op, reply } => self.on_store_done(op, reply),
             Event::WorkerDone { op, reply } => self.on_worker_done(op, reply),
@@ -226,28 +227,28 @@
             Event::PeerDone { op, reply } => self.on_peer_done(op, reply),
             Event::Stop => self.on_stop(),
         }
-        self.pump();
+        self.run_pending_work();
         std::mem::take(&mut self.effects)
     }
 
-    /// Whether callers and operators can be served: the catalogue is known, be
-    /// it that there is none yet.
+    /// Whether callers and operators can be served: the daemon is not stopping
+    /// and has read the catalogue, even if the catalogue is still empty.
     pub fn is_ready(&self) -> bool {
-        let known = self.catalogue.revision() > 0 || self.follow.confirmed_ms() > 0;
+        let known = self.catalogue.revision() > 0 || self.catalogue_watcher.confirmed_ms() > 0;
         !self.stopping && known
     }
 
-    /// Whether everything was handed over and the process may end.
+    /// Whether all work was handed over, so that the process may exit.
     pub fn is_stopped(&self) -> bool {
         self.stopped
     }
 
-    /// The catalogue in force.
+    /// The newest catalogue that this daemon has read.
     pub fn catalogue(&self) -> &Catalogue {
         &self.catalogue
     }
 
-    /// Who this daemon is.
+    /// The name, zone, region, peer address and incarnation of this daemon.
     pub fn identity(&self) -> &Identity {
         &self.me
     }
@@ -260,39 +261,39 @@
         self.expire_waiters();
         self.expire_requests();
         self.resolve_in_doubt();
-        self.empty_targets();
+        self.hand_over_drained_targets();
         self.send_reports();
         self.sweep_tick();
         self.reserve_at_peers();
         self.advance_shutdown();
         self.schedule_due = true;
-        self.calls_due = true;
+        self.worker_calls_due = true;
     }
 
-    /// What follows from every event: placing, sending, committing.
-    fn pump(&mut self) {
+    /// Runs after every event: applies a new catalogue, schedules, sends and commits.
+    fn run_pending_work(&mut self) {
         self.apply_catalogue();
-        self.apply_shares();
+        self.apply_quota_shares();
         if self.schedule_due {
             self.schedule_due = false;
             self.schedule();
         }
         self.serve_waiting_requests();
-        if self.calls_due {
-            self.calls_due = false;
+        if self.worker_calls_due {
+            self.worker_calls_due = false;
             self.send_worker_calls();
         }
         self.commit();
     }
 
-    /// Whether work that has to be recorded is refused at once: the store has not
-    /// answered for a while, so waiting for it would end in an unknown.
-    fn refuses_records(&self) -> bool {
+    /// Whether work that has to be recorded is rejected at once: the store has not
+    /// answered for a while, so waiting for it would end in an unknown acceptance.
+    fn rejects_recorded_work(&self) -> bool {
         self.committer.is_failing() || self.store_failures >= STORE_FAILURES_MAX
     }
 
     fn next_write_id(&mut self) -> u64 {
-        self.write_ids = self.write_ids.wrapping_add(1);
-        self.write_ids
+        self.last_write_id = self.last_write_id.wrapping_add(1);
+        self.last_write_id
     }
 }
--- a/crates/engine/src/observations.rs
+++ b/crates/engine/src/observations.rs
@@ -8,7 +8,7 @@
 use stoatwell_model::worker::TaskState;
 
 use crate::Engine;
-use crate::message::Seen;
+use crate::message::Observation;
 
 /// Delay before a task whose attempt never started is placed again.
 const REFUSED_START_BACKOFF_MS: u64 = 100;
@@ -21,7 +21,7 @@
         attempt: AttemptId,
         worker: &WorkerId,
         coordinator: &stoatwell_model::DaemonId,
-        seen: Seen,
+        seen: Observation,
     ) {
         if *coordinator == self.me.daemon {
             self.on_observation(attempt, worker, seen);
@@ -36,16 +36,16 @@
         &mut self,
         attempt: AttemptId,
         worker: &WorkerId,
-        seen: Seen,
+        seen: Observation,
     ) -> bool {
         let attempts = BTreeMap::from([(attempt, worker.clone())]);
         let Some(job) = self.jobs.get(&attempt.job) else {
             return self.on_finished_job_observation(attempt, worker, &seen);
         };
-        let ended = matches!(&seen, Seen::State(state) if !state.is_running());
+        let ended = matches!(&seen, Observation::State(state) if !state.is_running());
         let repeatable = !job.machine.record.execution.needs_intent();
-        let is_finding_tasks = job.finding > 0 || job.find_ms.is_some();
-        if is_finding_tasks && let Seen::State(state) = &seen {
+        let is_finding_tasks = job.pending_discoveries > 0 || job.discovery_due_ms.is_some();
+        if is_finding_tasks && let Observation::State(state) = &seen {
             self.drive(attempt.job, |machine, now_ms| {
                 machine.on_discovered(now_ms, attempt, worker, state)
             });
@@ -83,27 +83,27 @@
         &mut self,
         attempt: AttemptId,
         worker: &WorkerId,
-        seen: &Seen,
+        seen: &Observation,
     ) {
         match seen {
-            Seen::State(TaskState::Running) => {
+            Observation::State(TaskState::Running) => {
                 self.queue_stop(worker, attempt, StopMode::Stop);
             }
-            Seen::State(_) => self.acknowledge(&BTreeMap::from([(attempt, worker.clone())])),
-            Seen::Absent | Seen::Pending | Seen::Forgotten => {}
+            Observation::State(_) => self.acknowledge(&BTreeMap::from([(attempt, worker.clone())])),
+            Observation::Absent | Observation::Pending | Observation::Forgotten => {}
         }
     }
 
     /// Feeds an observed state of a current attempt to its job's state machine.
-    pub(crate) fn drive_observation(&mut self, attempt: AttemptId, seen: &Seen) {
-        if matches!(seen, Seen::Absent) {
+    pub(crate) fn drive_observation(&mut self, attempt: AttemptId, seen: &Observation) {
+        if matches!(seen, Observation::Absent) {
             self.scheduler.queue.defer(attempt.job, self.now_ms + REFUSED_START_BACKOFF_MS);
         }
         self.drive(attempt.job, |machine, now_ms| match seen {
-            Seen::State(state) => machine.on_report(now_ms, attempt, state),
-            Seen::Absent => machine.on_never_started(now_ms, attempt),
-            Seen::Forgotten => machine.on_worker_lost(now_ms, attempt),
-            Seen::Pending => Vec::new(),
+            Observation::State(state) => machine.on_report(now_ms, attempt, state),
+            Observation::Absent => machine.on_never_started(now_ms, attempt),
+            Observation::Forgotten => machine.on_worker_lost(now_ms, attempt),
+            Observation::Pending => Vec::new(),
         });
     }
 
@@ -114,9 +114,9 @@
         &mut self,
         attempt: AttemptId,
         worker: &WorkerId,
-        seen: &Seen,
+        seen: &Observation,
     ) -> bool {
-        if !self.recent.contains_key(&attempt.job) {
+        if !self.finished_jobs.contains_key(&attempt.job) {
             return false;
         }
         self.end_superseded_attempt(attempt, worker, seen);
--- a/crates/engine/src/peers.rs
+++ b/crates/engine/src/peers.rs
@@ -29,7 +29,7 @@
 use crate::message::PeerCall;
 use crate::message::PeerReply;
 use crate::message::Ticket;
-use crate::message::ZoneNews;
+use crate::message::ZoneUpdate;
 use crate::ops::PeerOp;
 use crate::ops::StoreOp;
 
@@ -53,7 +53,7 @@
     pub(crate) summary_version: u64,
     /// The version of `summary` that each peer was sent last, and when.
     pub(crate) summary_sent: HashMap<DaemonId, (u64, UnixMs)>,
-    pub(crate) zone_news: Option<ZoneNews>,
+    pub(crate) zone_news: Option<ZoneUpdate>,
     /// Number of significant changes of `zone_news`.
     pub(crate) zone_news_version: u64,
     /// The version of `zone_news` that each zone was sent last, and when.
@@ -76,7 +76,7 @@
 /// The state of another zone as last reported.
 #[derive(Clone, Debug)]
 pub(crate) struct ZoneState {
-    pub(crate) news: ZoneNews,
+    pub(crate) news: ZoneUpdate,
     pub(crate) heard_ms: UnixMs,
     /// Number of significant changes of `news`.
     pub(crate) version: u64,
@@ -107,13 +107,13 @@
             }
         }
         let summary = self.summary();
-        if is_significant_summary_change(&self.telling.summary, &summary) {
-            self.telling.summary = summary;
-            self.telling.summary_version += 1;
+        if is_significant_summary_change(&self.announcements.summary, &summary) {
+            self.announcements.summary = summary;
+            self.announcements.summary_version += 1;
         }
         let is_relay = self.members.is_relay(self.now_ms);
         for daemon in same_zone {
-            let summary = self.telling.summary_for(self.now_ms, &daemon);
+            let summary = self.announcements.summary_for(self.now_ms, &daemon);
             let beat = Heartbeat { summary, ..self.heartbeat() };
             let news = if is_relay { self.other_zone_news_for(&daemon) } else { Vec::new() };
             self.call_peer(PeerOp::Heartbeat, &daemon, PeerCall::Heartbeat { beat, news });
@@ -140,7 +140,7 @@
         }
     }
 
-    fn on_heartbeat(&mut self, beat: &Heartbeat, news: Vec<ZoneNews>) {
+    fn on_heartbeat(&mut self, beat: &Heartbeat, news: Vec<ZoneUpdate>) {
         self.members.on_heartbeat(self.now_ms, beat);
         let newest = news.iter().map(|item| item.revision).max().unwrap_or(0);
         if beat.revision > self.catalogue.revision() || newest > self.catalogue.revision() {
@@ -177,7 +177,7 @@
             }
             PeerCall::Changed { revision } => {
                 if revision > self.catalogue.revision() {
-                    self.follow.poll_now();
+                    self.catalogue_watcher.poll_now();
                     self.poll_catalogue();
                 }
                 PeerReply::Noted
@@ -211,7 +211,7 @@
                 self.on_heartbeat(&beat, news);
             }
             (PeerOp::Catalogue, Ok(PeerReply::News(news))) => self.on_catalogue_news(news),
-            (PeerOp::Pass(ticket), reply) => self.relay_reply(ticket, reply),
+            (PeerOp::ProxyReply(ticket), reply) => self.relay_reply(ticket, reply),
             (PeerOp::Forward { ticket, caller, key, submission, wait_ms }, reply) => {
                 self.on_forward_done(ticket, &caller, key, submission, wait_ms, reply);
             }
@@ -228,7 +228,7 @@
                 | PeerOp::Catalogue
                 | PeerOp::Inquire
                 | PeerOp::Report { .. }
-                | PeerOp::Notice,
+                | PeerOp::Notification,
                 _,
             ) => {}
         }
@@ -236,21 +236,21 @@
 
     fn on_catalogue_news(&mut self, news: CatalogueUpdate) {
         if self.catalogue.merge(news) {
-            self.tell_zone_of_change();
+            self.announce_revision();
         }
     }
 
     pub(crate) fn read_instance_list(&mut self) {
-        if self.listing || self.now_ms < self.next_list_ms {
+        if self.instance_list_pending || self.now_ms < self.next_instance_list_ms {
             return;
         }
-        self.listing = true;
-        self.next_list_ms = self.now_ms + self.settings.platform.instances_interval_ms;
+        self.instance_list_pending = true;
+        self.next_instance_list_ms = self.now_ms + self.settings.platform.instances_interval_ms;
         // Only the instances of this zone are read unless work was taken over from
         // another zone: the full list takes hundreds of kilobytes at the target size.
         let all_zones = self.has_tasks_in_other_zones();
         let zone = if all_zones { None } else { Some(self.me.zone.clone()) };
-        self.call_store(StoreOp::List { whole: all_zones }, StoreCall::Instances { zone });
+        self.call_store(StoreOp::List { all_zones: all_zones }, StoreCall::Instances { zone });
     }
 
     pub(crate) fn on_instance_list(
@@ -258,11 +258,11 @@
         all_zones: bool,
         reply: Result<StoreReply, CallError>,
     ) {
-        self.listing = false;
+        self.instance_list_pending = false;
         let Ok(StoreReply::Instances { instances }) = reply else {
             return;
         };
-        self.listed_ms = self.now_ms;
+        self.instance_list_read_ms = self.now_ms;
         let mut daemons = Vec::new();
         let mut workers = Vec::new();
         let mut zones = HashMap::new();
@@ -290,14 +290,14 @@
         self.members.update_instances(self.now_ms, &daemons);
         let list_bytes = (daemons.len() + zones.len()) as u64 * INSTANCE_ENTRY_BYTES;
         let min_interval_ms = list_bytes * 1_000 / LIST_BYTES_PER_SECOND_MAX;
-        self.next_list_ms = self.next_list_ms.max(self.now_ms + min_interval_ms);
+        self.next_instance_list_ms = self.next_instance_list_ms.max(self.now_ms + min_interval_ms);
         if !all_zones {
             let others = std::mem::take(&mut self.worker_zones);
             zones.extend(others.into_iter().filter(|(_, zone)| *zone != self.me.zone));
         }
         self.worker_zones = zones;
         self.record_missing_workers(all_zones);
-        self.holdings.update_workers(workers);
+        self.leases.update_workers(workers);
     }
 
     /// The address at which peers reach a daemon; `None` if it isn't known.
--- a/crates/engine/src/remote.rs
+++ b/crates/engine/src/remote.rs
@@ -21,10 +21,10 @@
 
 use crate::Engine;
 use crate::message::JobMeta;
+use crate::message::Observation;
 use crate::message::PeerCall;
 use crate::message::PeerReply;
 use crate::message::Reservation;
-use crate::message::Seen;
 use crate::ops::PeerOp;
 
 /// Time after which an unused reservation expires.
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 struct Report {
     worker: WorkerId,
-    seen: Seen,
+    seen: Observation,
     due_ms: UnixMs,
 }
 
@@ -84,7 +84,7 @@
         to: &DaemonId,
         attempt: AttemptId,
         worker: &WorkerId,
-        seen: Seen,
+        seen: Observation,
     ) {
         let report = Report { worker: worker.clone(), seen, due_ms: 0 };
         self.outbox.entry(to.clone()).or_default().insert(attempt, report);
@@ -253,7 +253,7 @@
             let Some(placed) = self.scheduler.place_task(self.now_ms, &waiting, *attempt) else {
                 break;
             };
-            let Some(token) = self.holdings.token(self.now_ms, &placed.worker) else {
+            let Some(token) = self.leases.token(self.now_ms, &placed.worker) else {
                 self.scheduler.release_unstarted(self.now_ms, *attempt);
                 break;
             };
@@ -361,7 +361,7 @@
 
     pub(crate) fn send_remote_starts(&mut self) {
         for (holder, tasks) in std::mem::take(&mut self.remote.starts) {
-            self.call_peer(PeerOp::Notice, &holder, PeerCall::Start { tasks });
+            self.call_peer(PeerOp::Notification, &holder, PeerCall::Start { tasks });
         }
     }
 
@@ -380,7 +380,7 @@
                 continue;
             }
             if has_current_token {
-                self.notify_coordinator(attempt, &worker, &coordinator, Seen::Absent);
+                self.notify_coordinator(attempt, &worker, &coordinator, Observation::Absent);
             }
             if granted {
                 self.release_unstarted(attempt);
@@ -430,12 +430,12 @@
     pub(crate) fn on_reports(
         &mut self,
         from: &DaemonId,
-        reports: Vec<(AttemptId, WorkerId, Seen)>,
+        reports: Vec<(AttemptId, WorkerId, Observation)>,
     ) -> PeerReply {
         let mut attempts = Vec::new();
         let mut unknown = Vec::new();
         for (attempt, worker, seen) in reports {
-            let ended = matches!(&seen, Seen::State(state) if !state.is_running());
+            let ended = matches!(&seen, Observation::State(state) if !state.is_running());
             if !self.on_observation(attempt, &worker, seen) {
                 unknown.push(attempt);
                 continue;
@@ -443,7 +443,7 @@
             attempts.push(attempt);
             if ended && self.can_acknowledge(attempt) {
                 let call = PeerCall::Acknowledge { attempts: vec![(attempt, worker)] };
-                self.call_peer(PeerOp::Notice, from, call);
+                self.call_peer(PeerOp::Notification, from, call);
             }
         }
         PeerReply::Acknowledged { attempts, unknown }
@@ -456,7 +456,7 @@
                 let repeatable = !job.machine.record.execution.needs_intent();
                 repeatable && !job.machine.is_current(attempt)
             }
-            None => self.recent.contains_key(&attempt.job),
+            None => self.finished_jobs.contains_key(&attempt.job),
         }
     }
 
--- a/crates/engine/src/shutdown.rs
+++ b/crates/engine/src/shutdown.rs
@@ -27,12 +27,13 @@
             return;
         }
         self.hand_over_jobs();
-        let is_forwarded = |op: &PeerOp| matches!(op, PeerOp::Forward { .. } | PeerOp::Pass(_));
+        let is_forwarded =
+            |op: &PeerOp| matches!(op, PeerOp::Forward { .. } | PeerOp::ProxyReply(_));
         let requests_done = self.requests.is_empty() && !self.ops.peer.values().any(is_forwarded);
         let has_successor = !self.zone_peers().is_empty();
         let jobs_done = self.jobs.values().all(|job| !has_successor && !job.machine.is_writing());
         let is_idle = self.committer.backlog() == 0 && self.ops.minion.is_empty();
-        let released = self.holdings.held() == 0
+        let released = self.leases.held() == 0
             || !has_successor && self.held.values().all(|held| !held.call_in_flight);
         self.stopped = requests_done && (jobs_done || self.jobs.is_empty()) && is_idle && released;
     }
@@ -50,7 +51,7 @@
             let is_open_request = record.class == Class::Request && job.request.is_some();
             let is_quiescent =
                 job.accepted && !job.machine.is_writing() && record.outcome.is_none();
-            if is_quiescent && !job.leaving && !is_open_request {
+            if is_quiescent && !job.handing_over && !is_open_request {
                 ready.push(*id);
             }
         }
@@ -60,7 +61,7 @@
                 continue;
             };
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.leaving = true;
+                job.handing_over = true;
                 job.machine.reassign(successor, &self.me.zone);
             }
             self.write_job(id);
@@ -75,11 +76,11 @@
         };
         let successor = job.machine.record.coordinator.clone();
         let call = PeerCall::Adopt { jobs: vec![id] };
-        self.call_peer(PeerOp::Notice, &successor, call);
-        for (ticket, until_ms) in job.waiters {
+        self.call_peer(PeerOp::Notification, &successor, call);
+        for (ticket, until_ms) in job.outcome_waiters {
             let wait_ms = until_ms.saturating_sub(self.now_ms);
             let call = PeerCall::Status { job: id, wait_ms };
-            if !self.call_peer(PeerOp::Pass(ticket), &successor, call) {
+            if !self.call_peer(PeerOp::ProxyReply(ticket), &successor, call) {
                 let failure = stoatwell_model::Failure::new(stoatwell_model::Code::PeerUnavailable);
                 self.answer_job(ticket, Err(failure.retry_after(1_000)));
             }
--- a/crates/engine/src/sweep.rs
+++ b/crates/engine/src/sweep.rs
@@ -201,7 +201,7 @@
         let id = record.job;
         if let Some(job) = self.jobs.get(&id) {
             if job.accepted && job.machine.record.epoch < record.epoch {
-                self.lose_job(id, &row.value);
+                self.abandon_job(id, &row.value);
             }
             return;
         }
@@ -224,9 +224,9 @@
         let mut job = Job::new(machine, body);
         // The new holders of the dead daemon's workers need this long to learn what
         // runs on them.
-        let settled_ms = self.now_ms + self.holdings.ttl_ms();
-        job.find_ms = Some(settled_ms);
-        job.inquire_ms = settled_ms;
+        let settled_ms = self.now_ms + self.leases.ttl_ms();
+        job.discovery_due_ms = Some(settled_ms);
+        job.inquire_not_before_ms = settled_ms;
         job.accept_until_ms = UnixMs::MAX / 2;
         self.jobs.insert(id, job);
         match object {
@@ -288,7 +288,7 @@
                 // An open job finds its tasks itself once a daemon runs it.
                 Some(record) if record.outcome.is_none() => self.extend_retention(*job),
                 Some(record) => {
-                    self.remember(view_of_record(record, Vec::new()));
+                    self.remember_finished(view_of_record(record, Vec::new()));
                     self.clean_up_job_tasks(*job);
                 }
                 None => self.clean_up_job_tasks(*job),
@@ -369,11 +369,11 @@
         self.store_failures = if reply.is_ok() { 0 } else { self.store_failures.saturating_add(1) };
         match purpose {
             StoreOp::Commit => self.on_commit_reply(&reply),
-            StoreOp::Follow => self.on_follow(reply),
+            StoreOp::PollCatalogue => self.on_catalogue_reply(reply),
             StoreOp::Edit(ticket, edit) => self.on_edit_reply(ticket, edit, reply),
-            StoreOp::Question(ticket) => self.on_store_reply(ticket, reply),
-            StoreOp::List { whole } => self.on_instance_list(whole, reply),
-            StoreOp::KeepBody(job) => self.on_body_kept(job, &reply),
+            StoreOp::Query(ticket) => self.on_store_reply(ticket, reply),
+            StoreOp::List { all_zones } => self.on_instance_list(all_zones, reply),
+            StoreOp::StoreBody(job) => self.on_body_stored(job, &reply),
             StoreOp::LoadBody(job) => self.on_body_loaded(job, reply),
             StoreOp::Lookup(lookup) => self.on_lookup_reply(lookup, reply),
             StoreOp::SweepOpen => self.on_open_rows(reply),
--- a/crates/engine/src/worker_leases.rs
+++ b/crates/engine/src/worker_leases.rs
@@ -31,8 +31,8 @@
 use crate::Engine;
 use crate::held_worker::HeldWorker;
 use crate::held_worker::TrackedTask;
+use crate::message::Observation;
 use crate::message::OpId;
-use crate::message::Seen;
 use crate::ops::WorkerOp;
 
 /// Maximum number of starts in one call to a worker.
@@ -52,8 +52,8 @@
             return;
         }
         self.leases_checked_ms = self.now_ms;
-        for worker in self.holdings.expired(self.now_ms) {
-            self.holdings.drop_lease(&worker);
+        for worker in self.leases.expired(self.now_ms) {
+            self.leases.drop_lease(&worker);
             self.remove_held_worker(&worker);
         }
     }
@@ -73,13 +73,13 @@
                 .is_some_and(|held| held.call_in_flight || held.has_pending_calls());
             has_calls || minions.busy_on(worker) > 0
         };
-        for action in self.holdings.due(self.now_ms, &holders, only, busy) {
+        for action in self.leases.due(self.now_ms, &holders, only, busy) {
             self.send_lease_call(action);
         }
     }
 
     fn send_lease_call(&mut self, action: LeaseAction) {
-        let ttl_ms = self.holdings.ttl_ms();
+        let ttl_ms = self.leases.ttl_ms();
         match action {
             LeaseAction::Acquire { worker, token } => {
                 let call = WorkerCall::Acquire { holder: self.me.daemon.clone(), token, ttl_ms };
@@ -91,7 +91,7 @@
                 let call = WorkerCall::Renew {
                     token,
                     ttl_ms,
-                    wait_ms: self.holdings.wait_ms(),
+                    wait_ms: self.leases.wait_ms(),
                     since,
                     acknowledged: acknowledged.clone(),
                 };
@@ -113,11 +113,11 @@
                 self.renew_due_leases(Some(&worker));
             }
             Some(WorkerOp::Start(worker, tasks)) => {
-                self.calls_due = true;
+                self.worker_calls_due = true;
                 self.on_start_reply(&worker, tasks, reply);
             }
             Some(WorkerOp::Stop(worker, attempts)) => {
-                self.calls_due = true;
+                self.worker_calls_due = true;
                 self.on_stop_reply(&worker, attempts, reply);
             }
             None => {}
@@ -130,7 +130,7 @@
         acknowledged: &[AttemptId],
         reply: Option<WorkerReply>,
     ) {
-        let event = self.holdings.on_reply(self.now_ms, worker, reply.as_ref());
+        let event = self.leases.on_reply(self.now_ms, worker, reply.as_ref());
         match (event, reply) {
             (LeaseEvent::Acquired, Some(WorkerReply::Granted { state, .. })) => {
                 self.on_lease_gained(&state);
@@ -167,7 +167,7 @@
             self.on_task_report(worker, report);
         }
         self.apply_target(worker);
-        self.shares_due = true;
+        self.quota_shares_due = true;
         self.schedule_due = true;
     }
 
@@ -182,9 +182,9 @@
         // Starts that were never sent cannot have started. Those sent without a reply
         // are left to an inquiry to the next holder.
         for start in held.unsent_starts {
-            self.notify_coordinator(start.attempt, worker, &start.coordinator, Seen::Absent);
+            self.notify_coordinator(start.attempt, worker, &start.coordinator, Observation::Absent);
         }
-        self.shares_due = true;
+        self.quota_shares_due = true;
     }
 
     fn update_foreign_usage(&mut self, worker: &WorkerId, foreign: Resources) {
@@ -218,7 +218,12 @@
         } else {
             self.record_ended(worker, attempt, &report.state);
         }
-        self.notify_coordinator(attempt, worker, &coordinator, Seen::State(report.state.clone()));
+        self.notify_coordinator(
+            attempt,
+            worker,
+            &coordinator,
+            Observation::State(report.state.clone()),
+        );
     }
 
     fn record_running(&mut self, worker: &WorkerId, report: &TaskReport) {
@@ -274,7 +279,7 @@
         if running.is_none_or(|running| running.worker != *worker) {
             return false;
         }
-        self.calls_due = true;
+        self.worker_calls_due = true;
         let Some(held) = self.held.get_mut(worker) else {
             return false;
         };
@@ -293,7 +298,7 @@
         attempt: AttemptId,
         mode: StopMode,
     ) -> bool {
-        self.calls_due = true;
+        self.worker_calls_due = true;
         let Some(held) = self.held.get_mut(worker) else {
             return false;
         };
@@ -301,7 +306,7 @@
         if let Some(index) = held.unsent_starts.iter().position(|start| start.attempt == attempt) {
             let start = held.unsent_starts.remove(index);
             self.release_unstarted(attempt);
-            self.notify_coordinator(attempt, worker, &start.coordinator, Seen::Absent);
+            self.notify_coordinator(attempt, worker, &start.coordinator, Observation::Absent);
             return true;
         }
         let already_queued = held.stops.iter().any(|(other, _)| *other == attempt);
@@ -330,7 +335,7 @@
         }
         for worker in ready {
             // The process may have paused since placement, so the lease is checked again.
-            if let Some(token) = self.holdings.token(self.now_ms, &worker) {
+            if let Some(token) = self.leases.token(self.now_ms, &worker) {
                 self.send_worker_call(&worker, token);
             }
         }
@@ -381,7 +386,7 @@
             }
             Ok(WorkerReply::NotHolder { token, .. }) => {
                 // Only the next holder can tell whether an earlier copy of the start took effect.
-                if self.holdings.on_fenced(worker, token) == LeaseEvent::Lost {
+                if self.leases.on_fenced(worker, token) == LeaseEvent::Lost {
                     self.remove_held_worker(worker);
                 }
             }
@@ -412,13 +417,13 @@
                     attempt,
                     worker,
                     &start.coordinator,
-                    Seen::State(TaskState::Running),
+                    Observation::State(TaskState::Running),
                 );
             }
             StartReply::Refused { .. } => {
                 held.not_before_ms = self.now_ms + CALL_RETRY_MS;
                 self.release_unstarted(attempt);
-                self.notify_coordinator(attempt, worker, &start.coordinator, Seen::Absent);
+                self.notify_coordinator(attempt, worker, &start.coordinator, Observation::Absent);
             }
         }
     }
@@ -436,7 +441,7 @@
         match reply {
             Ok(WorkerReply::Stopped) => {}
             Ok(WorkerReply::NotHolder { token, .. }) => {
-                if self.holdings.on_fenced(worker, token) == LeaseEvent::Lost {
+                if self.leases.on_fenced(worker, token) == LeaseEvent::Lost {
                     self.remove_held_worker(worker);
                 }
             }
--- a/crates/engine/src/zone_relay.rs
+++ b/crates/engine/src/zone_relay.rs
@@ -12,7 +12,7 @@
 
 use crate::Engine;
 use crate::message::PeerCall;
-use crate::message::ZoneNews;
+use crate::message::ZoneUpdate;
 use crate::ops::PeerOp;
 use crate::peers::NEWS_RESEND_MS;
 use crate::peers::ZoneState;
@@ -41,24 +41,24 @@
 
     /// The news of this zone for another zone; empty unless it changed significantly
     /// or was last sent [`NEWS_RESEND_MS`] ago.
-    pub(crate) fn own_zone_news_for(&mut self, zone: &ZoneName) -> Vec<ZoneNews> {
+    pub(crate) fn own_zone_news_for(&mut self, zone: &ZoneName) -> Vec<ZoneUpdate> {
         let news = self.own_zone_news();
         if self
-            .telling
+            .announcements
             .zone_news
             .as_ref()
             .is_none_or(|published| is_significant_change(published, &news))
         {
-            self.telling.zone_news = Some(news.clone());
-            self.telling.zone_news_version += 1;
+            self.announcements.zone_news = Some(news.clone());
+            self.announcements.zone_news_version += 1;
         }
-        let version = self.telling.zone_news_version;
+        let version = self.announcements.zone_news_version;
         let (sent_version, sent_ms) =
-            self.telling.zone_news_sent.get(zone).copied().unwrap_or_default();
+            self.announcements.zone_news_sent.get(zone).copied().unwrap_or_default();
         if sent_version == version && self.now_ms < sent_ms + NEWS_RESEND_MS {
             return Vec::new();
         }
-        self.telling.zone_news_sent.insert(zone.clone(), (version, self.now_ms));
+        self.announcements.zone_news_sent.insert(zone.clone(), (version, self.now_ms));
         vec![news]
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// A summary over all live daemons of this zone.
-    pub(crate) fn own_zone_news(&mut self) -> ZoneNews {
+    pub(crate) fn own_zone_news(&mut self) -> ZoneUpdate {
         let mut summary = self.summary();
         let mut daemons = vec![self.me.clone()];
         let mut revision = self.catalogue.revision();
@@ -89,11 +89,11 @@
             revision = revision.max(member.revision);
             add_summary(&mut summary, &member.summary);
         }
-        ZoneNews { zone: self.me.zone.clone(), age_ms: 0, daemons, revision, summary }
+        ZoneUpdate { zone: self.me.zone.clone(), age_ms: 0, daemons, revision, summary }
     }
 
     /// News of other zones that this daemon has not been sent, or not recently.
-    pub(crate) fn other_zone_news_for(&mut self, daemon: &DaemonId) -> Vec<ZoneNews> {
+    pub(crate) fn other_zone_news_for(&mut self, daemon: &DaemonId) -> Vec<ZoneUpdate> {
         let now_ms = self.now_ms;
         let mut news = Vec::new();
         for state in self.zones.values_mut() {
@@ -104,12 +104,12 @@
             }
             state.sent.insert(daemon.clone(), (state.version, now_ms));
             let age_ms = now_ms.saturating_sub(state.heard_ms);
-            news.push(ZoneNews { age_ms, ..state.news.clone() });
+            news.push(ZoneUpdate { age_ms, ..state.news.clone() });
         }
         news
     }
 
-    pub(crate) fn on_news(&mut self, news: Vec<ZoneNews>) {
+    pub(crate) fn on_news(&mut self, news: Vec<ZoneUpdate>) {
         for item in news {
             if item.zone == self.me.zone {
                 continue;
@@ -165,7 +165,7 @@
 }
 
 /// Whether the difference is large enough to be sent.
-fn is_significant_change(old: &ZoneNews, new: &ZoneNews) -> bool {
+fn is_significant_change(old: &ZoneUpdate, new: &ZoneUpdate) -> bool {
     old.daemons != new.daemons
         || old.revision != new.revision
         || is_significant_summary_change(&old.summary, &new.summary)
