--- a/crates/catalogue/src/edit.rs
+++ b/crates/catalogue/src/edit.rs
@@ -114,17 +114,14 @@
             (_, Err(error)) => EditStep::Done(Err(store_unavailable(error))),
             (_, Ok(other)) => EditStep::Done(Err(Failure::with_detail(
                 Code::Internal,
-                format!("unexpected response of the store: {other:?}"),
+                format!("unexpected answer of the store: {other:?}"),
             ))),
         }
     }
 
     fn decide(&mut self, rows: &[Row]) -> EditStep {
         let [head, item] = rows else {
-            return EditStep::Done(Err(Failure::with_detail(
-                Code::Internal,
-                "the store did not return exactly the head row and the item row",
-            )));
+            return EditStep::Done(Err(Failure::with_detail(Code::Internal, "two rows expected")));
         };
         let current: Option<Versioned> = serde_json::from_str(&item.value).ok();
         let current_revision = current.as_ref().map_or(0, |versioned| versioned.revision);
@@ -178,7 +175,7 @@
     fn restart(&mut self) -> EditStep {
         self.attempts += 1;
         if self.attempts >= ATTEMPTS_MAX {
-            let detail = "too many concurrent changes; nothing was changed";
+            let detail = "too many changes at once; nothing was changed";
             return EditStep::Done(Err(
                 Failure::with_detail(Code::Overloaded, detail).retry_after(1_000)
             ));
--- a/crates/engine/src/lookup.rs
+++ b/crates/engine/src/lookup.rs
@@ -173,9 +173,7 @@
         {
             return;
         }
-        let note = format!(
-            "coordinator {coordinator} cannot be reached; another daemon takes the job over"
-        );
+        let note = format!("daemon {coordinator} that ran it is not heard; another takes it over");
         self.answer_job(ticket, Ok(view_of_record(record, vec![note])));
     }
 
--- a/crates/engine/src/remote.rs
+++ b/crates/engine/src/remote.rs
@@ -352,9 +352,8 @@
         }
         if let Some(job) = self.jobs.get_mut(&id) {
             let count = placed.len();
-            job.machine.note(format!(
-                "{count} tasks placed on workers of {holder}, which had free capacity"
-            ));
+            job.machine
+                .note(format!("{count} tasks placed on workers of {holder}, which had room"));
         }
         self.drive(id, |machine, now_ms| machine.on_placed(now_ms, &placed));
     }
--- a/crates/engine/src/seal.rs
+++ b/crates/engine/src/seal.rs
@@ -31,7 +31,7 @@
         };
         job.request = None;
         job.inquire_ms = self.now_ms;
-        job.machine.note("the minion did not answer in time; asking it for the outcome".to_owned());
+        job.machine.note("the minion did not answer in time and is being asked".to_owned());
         let view = JobView {
             state: stoatwell_model::JobState::Unknown,
             outcome: Some(Outcome::Unknown {
@@ -64,7 +64,7 @@
             return;
         };
         if self.is_worker_gone(&intent.worker) {
-            let detail = format!("the minion's worker {} is lost", intent.worker);
+            let detail = format!("worker {} of its minion is gone", intent.worker);
             let outcome = Outcome::Unknown { code: Code::OutcomeUnknown, detail };
             return self.finish_request(id, outcome);
         }
@@ -86,10 +86,7 @@
             Ok(MinionReply::NeverStarted) => {
                 self.finish_request(
                     id,
-                    not_run(
-                        Code::NoMinion,
-                        "the minion never received the request and now refuses it",
-                    ),
+                    not_run(Code::NoMinion, "the minion never got it and refuses it now"),
                 );
             }
             Ok(MinionReply::Failed { reason }) => {
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -115,7 +115,7 @@
         if connection.last_failed_dial.is_some_and(|failed| failed.elapsed() < DIAL_BACKOFF) {
             return Err(io::Error::new(
                 io::ErrorKind::NotConnected,
-                "an attempt to connect failed a moment ago",
+                "the last dial failed just now",
             ));
         }
         match self.dial(address).await {
--- a/crates/placement/src/scheduler/mod.rs
+++ b/crates/placement/src/scheduler/mod.rs
@@ -336,26 +336,23 @@
         let mut reasons = Vec::new();
         let ahead = self.queue.jobs_ahead_of(job);
         if ahead > 0 {
-            reasons.push(format!(
-                "{ahead} jobs of entry {} are ahead of it in the queue",
-                waiting.entry
-            ));
+            reasons.push(format!("{ahead} jobs of entry {} stand before it", waiting.entry));
         }
         if let Some(until_ms) = self.health.held_back_until(now_ms, &waiting.entry) {
             let left_ms = until_ms - now_ms;
             reasons.push(format!(
-                "entry {} keeps failing and is held back for {left_ms} ms",
+                "entry {} fails everywhere and is held back for {left_ms} ms",
                 waiting.entry
             ));
         }
         let need = self.demand(&waiting);
         if !self.within_quota(&waiting, &need) {
-            reasons.push(format!("owner {} has too little quota left here", waiting.owner));
+            reasons.push(format!("owner {} holds all its quota here", waiting.owner));
         }
         if self.is_at_running_max(&waiting.entry) {
             let running = self.cell.running_count_of(&waiting.entry);
             reasons.push(format!(
-                "{running} tasks of entry {} run here, which is its limit",
+                "{running} tasks of entry {} run here, as many as may",
                 waiting.entry
             ));
         }
@@ -363,16 +360,16 @@
         if let Some(lacking) = free.first_shortage(&need) {
             reasons.push(format!("no worker of {} has enough free {lacking} now", waiting.owner));
         } else if self.cell.find_packed(&waiting.owner, &need, CapacityView::Free).is_none() {
-            reasons.push("no single worker has enough of every resource free now".to_owned());
+            reasons.push("no single worker has all of it free now".to_owned());
         }
         if let Some(reservation) = self.reservations.get(&waiting.owner)
             && reservation.job == job
         {
             let (claimed, total) = (reservation.claims.len(), reservation.tasks);
-            reasons.push(format!("capacity is reserved for {claimed} of its {total} tasks"));
+            reasons.push(format!("room is kept for {claimed} of its {total} tasks"));
         }
         if reasons.is_empty() {
-            reasons.push("it is next to be placed".to_owned());
+            reasons.push("it is next".to_owned());
         }
         reasons
     }
--- a/crates/placement/tests/policy.rs
+++ b/crates/placement/tests/policy.rs
@@ -332,7 +332,7 @@
         scheduler
             .pending_reasons(0, JobId(1))
             .iter()
-            .any(|reason| reason.contains("which is its limit"))
+            .any(|reason| reason.contains("as many as may"))
     );
     scheduler.task_ended(1_000, &tasks[0].worker, tasks[0].attempt, TaskEnd::Succeeded);
     let more = placed(scheduler.schedule(1_000, 100));
--- a/crates/pool/src/holds.rs
+++ b/crates/pool/src/holds.rs
@@ -228,7 +228,7 @@
         match error {
             CallError::Refused => worker.refuses_connections = true,
             CallError::OtherLife => {
-                self.lose_worker(name, "another worker or incarnation answers at its address");
+                self.lose_worker(name, "another one answers at its address");
             }
             CallError::Superseded => {
                 tracing::warn!(worker = %name, "worker has seen a higher fencing token; stepping down");
--- a/crates/pool/src/wakeup.rs
+++ b/crates/pool/src/wakeup.rs
@@ -42,16 +42,14 @@
         scheduled: bool,
     ) -> Option<&'static str> {
         match task.phase {
-            Phase::Waiting if job.is_ready(unit) && !scheduled => {
-                Some("is ready, but its unit is not in the queue")
-            }
+            Phase::Waiting if job.is_ready(unit) && !scheduled => Some("waits outside the queue"),
             Phase::Reserved if job.units[unit].advice.queries == 0 => {
-                Some("is reserved, but no advisor query for its ticket is pending")
+                Some("has room, and nobody asks for its ticket")
             }
             Phase::Recorded if !self.commits.has_pending(job.id) => {
-                Some("is recorded, but no write of its row is pending")
+                Some("has room, and its row is not written")
             }
-            Phase::Sent if self.is_start_lost(task) => Some("was sent, but not answered in time"),
+            Phase::Sent if self.is_start_lost(task) => Some("was sent, and no answer came"),
             _ => None,
         }
     }
