--- a/crates/bench/src/check.rs
+++ b/crates/bench/src/check.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use stoatwell_world::World;
-use stoatwell_world::count::Counts;
 use stoatwell_world::layout::Layout;
+use stoatwell_world::traffic::TrafficCounts;
 
 use crate::decisions;
 use crate::rest;
@@ -76,7 +76,7 @@
     let mut world = World::new(5, &layout);
     world.run_ms(5_000);
     let sum = |world: &World| {
-        let add = |(writes, reads): (u64, u64), counts: &Counts| {
+        let add = |(writes, reads): (u64, u64), counts: &TrafficCounts| {
             (writes + counts.store_writes, reads + counts.store_reads)
         };
         world.nodes.iter().map(|node| node.counts).fold((0, 0), |sums, counts| add(sums, &counts))
--- a/crates/bench/src/rest.rs
+++ b/crates/bench/src/rest.rs
@@ -2,8 +2,8 @@
 //! workers and to the store while nothing happens.
 
 use stoatwell_world::World;
-use stoatwell_world::count::Counts;
 use stoatwell_world::layout::Layout;
+use stoatwell_world::traffic::TrafficCounts;
 
 const SETTLE_MS: u64 = 20_000;
 const MEASURE_MS: u64 = 60_000;
@@ -26,10 +26,10 @@
 
 /// Lets a cell of the target's shape rest and counts.
 pub(crate) fn measure(daemons_per_zone: usize, workers_per_zone: u32) -> Rates {
-    let layout = Layout::wide(daemons_per_zone, workers_per_zone);
+    let layout = Layout::nine_zones(daemons_per_zone, workers_per_zone);
     let mut world = World::new(7, &layout);
     world.run_ms(SETTLE_MS);
-    let before: Vec<Counts> = world.nodes.iter().map(|node| node.counts).collect();
+    let before: Vec<TrafficCounts> = world.nodes.iter().map(|node| node.counts).collect();
     world.run_ms(MEASURE_MS);
     let mut rates = Rates::default();
     let seconds = MEASURE_MS as f64 / 1_000.0;
@@ -39,7 +39,7 @@
         rates.peer_messages += counts.peer_messages as f64 * share;
         rates.peer_sent_bytes += counts.peer_sent_bytes as f64 * share;
         rates.peer_received_bytes += counts.peer_received_bytes as f64 * share;
-        rates.far_sent_bytes += counts.far_sent_bytes as f64 * share;
+        rates.far_sent_bytes += counts.cross_region_sent_bytes as f64 * share;
         rates.worker_calls += counts.worker_calls as f64 * share;
         rates.worker_bytes +=
             (counts.worker_sent_bytes + counts.worker_received_bytes) as f64 * share;
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -19,8 +19,8 @@
 use stoatwell_model::peer::OwnerSummary;
 use stoatwell_model::peer::Summary;
 use stoatwell_world::World;
-use stoatwell_world::count::wire_bytes;
 use stoatwell_world::layout::Layout;
+use stoatwell_world::traffic::wire_bytes;
 
 use crate::fit;
 use crate::plot;
@@ -191,15 +191,15 @@
     let mut points = Vec::new();
     for workers in [50_u32, 100, 200, 400] {
         let mut world = loaded(workers, TASKS_EACH);
-        let before = world.nodes[0].busy;
+        let before = world.nodes[0].engine_time;
         world.run_ms(REST_MS);
-        let rest = world.nodes[0].busy.saturating_sub(before);
-        let before = world.nodes[0].busy;
+        let rest = world.nodes[0].engine_time.saturating_sub(before);
+        let before = world.nodes[0].engine_time;
         for number in 0..SUBMISSIONS {
             world.submit(0, "urgent", &format!("extra-{number}"), 1, r#"{"run_ms":20}"#);
             world.run_ms(REST_MS / u64::from(SUBMISSIONS));
         }
-        let loaded = world.nodes[0].busy.saturating_sub(before);
+        let loaded = world.nodes[0].engine_time.saturating_sub(before);
         let percent = rest.as_secs_f64() * 100.0 / (REST_MS as f64 / 1_000.0);
         let each = loaded.saturating_sub(rest).as_secs_f64() * 1e6 / f64::from(SUBMISSIONS);
         println!("| {workers} | {percent:.3} | {each:.0} |");
--- a/crates/bench/src/spread.rs
+++ b/crates/bench/src/spread.rs
@@ -37,7 +37,7 @@
 
 /// Makes one change in a cell of the engines themselves.
 pub(crate) fn engines(daemons_per_zone: usize, hints: bool, cut_zone: bool) -> Spread {
-    let layout = Layout::wide(daemons_per_zone, 1);
+    let layout = Layout::nine_zones(daemons_per_zone, 1);
     let mut world = World::new(11, &layout);
     world.run_ms(SETTLE_MS);
     world.drop_permille = LOSS_PERMILLE;
@@ -49,7 +49,7 @@
         }
     }
     if cut_zone {
-        for index in world.node_of_zone("zone-3") {
+        for index in world.nodes_in_zone("zone-3") {
             world.store_cut.insert(index);
         }
     }
@@ -71,7 +71,7 @@
     for (node, before) in world.nodes.iter().zip(&before) {
         let counts = node.counts.since(before);
         spread.messages += counts.peer_messages + counts.store_reads;
-        spread.far_bytes += counts.far_sent_bytes;
+        spread.far_bytes += counts.cross_region_sent_bytes;
     }
     spread
 }
--- a/crates/engine/tests/failures.rs
+++ b/crates/engine/tests/failures.rs
@@ -74,7 +74,7 @@
     assert!(took_ms < 4_000, "urgent work took {took_ms} ms after a death");
     until_final(&mut world, "running", 20_000);
     assert_eq!(
-        world.checker.starts_of(job("running")),
+        world.checker.start_count(job("running")),
         8,
         "running tasks went on and were found again"
     );
@@ -103,7 +103,7 @@
         for number in 0..6 {
             until_final(&mut world, &format!("solo-{number}"), 30_000);
             until_final(&mut world, &format!("route-{number}"), 30_000);
-            assert!(world.checker.starts_of(job(&format!("route-{number}"))) <= 1);
+            assert!(world.checker.start_count(job(&format!("route-{number}"))) <= 1);
         }
     }
 }
@@ -116,7 +116,7 @@
     world.submit(0, "bundle", "batch", 6, LONG);
     world.submit(0, "route", "route", 1, LONG);
     world.run_ms(1_000);
-    let before = (world.checker.starts_of(job("batch")), world.checker.starts_of(job("route")));
+    let before = (world.checker.start_count(job("batch")), world.checker.start_count(job("route")));
     world.store_down = true;
     world.run_ms(500);
     world.crash(0);
@@ -132,7 +132,7 @@
     until_final(&mut world, "route", 30_000);
     assert!(matches!(outcome(&mut world, "route"), Some(Outcome::Done { .. })));
     assert_eq!(
-        (world.checker.starts_of(job("batch")), world.checker.starts_of(job("route"))),
+        (world.checker.start_count(job("batch")), world.checker.start_count(job("route"))),
         before
     );
 }
@@ -152,9 +152,9 @@
         let key = format!("r{number}");
         if record(&mut world, &key).is_some() {
             until_final(&mut world, &key, 30_000);
-            assert_eq!(world.checker.starts_of(job(&key)), 1);
+            assert_eq!(world.checker.start_count(job(&key)), 1);
         } else {
-            assert_eq!(world.checker.starts_of(job(&key)), 0);
+            assert_eq!(world.checker.start_count(job(&key)), 0);
         }
     }
     let recovered: u64 = (0..3).map(|node| world.engine(node).dump().store.commits.recovered).sum();
@@ -179,7 +179,7 @@
     );
     world.run_ms(100);
     assert!(matches!(world.answer(ticket), Some(Answer::Edited(Ok(_)))));
-    world.checker.close(&worker, world.now_ms + 2_000);
+    world.checker.forbid_starts(&worker, world.now_ms + 2_000);
     for number in 0..30 {
         world.submit(number % 3, "bundle", &format!("more-{number}"), 4, LONG);
         world.run_ms(200);
@@ -236,15 +236,15 @@
     assert_eq!(view.state, JobState::Done);
     let failure = world.job_answer(booking).expect("an answer").expect_err("it cannot be recorded");
     assert_eq!(failure.code, Code::StoreUnavailable);
-    assert_eq!(world.checker.requests_of(job("booking")), 0);
+    assert_eq!(world.checker.request_count(job("booking")), 0);
     assert_eq!(
-        world.checker.starts_of(job("accepted-before")),
+        world.checker.start_count(job("accepted-before")),
         12,
         "accepted work went on starting"
     );
     world.heal();
     until_final(&mut world, "accepted-before", 20_000);
-    assert_eq!(world.checker.starts_of(job("accepted-before")), 12);
+    assert_eq!(world.checker.start_count(job("accepted-before")), 12);
 }
 
 /// All daemons of a zone are lost and do not come back. Jobs that wait there
@@ -255,12 +255,12 @@
         Layout { daemons: daemons(&[("zone-a", 2), ("zone-b", 2)], "region"), ..Layout::default() };
     let mut world = World::new(2, &layout);
     world.run_ms(4_000);
-    let node = world.node_of_zone("zone-b")[0];
+    let node = world.nodes_in_zone("zone-b")[0];
     for number in 0..40 {
         world.submit(node, "bundle", &format!("b{number}"), 4, LONG);
     }
     world.run_ms(500);
-    for node in world.node_of_zone("zone-b") {
+    for node in world.nodes_in_zone("zone-b") {
         world.crash(node);
     }
     for worker in layout.worker_ids("zone-b") {
@@ -297,7 +297,7 @@
         Some(Outcome::Unknown { code: Code::OutcomeUnknown, .. })
     ));
     assert!(matches!(outcome(&mut world, "solo"), Some(Outcome::Done { .. })));
-    assert_eq!(world.checker.starts_of(job("route")), 1);
+    assert_eq!(world.checker.start_count(job("route")), 1);
 }
 
 /// A thousand jobs are cancelled at once, most of them still waiting. A job
@@ -316,7 +316,7 @@
     let (mut not_run, mut ran) = (0, 0);
     for number in 0..300 {
         let key = format!("c{number}");
-        let starts = world.checker.starts_of(job(&key));
+        let starts = world.checker.start_count(job(&key));
         match outcome(&mut world, &key) {
             Some(Outcome::NotRun { code, .. }) => {
                 assert_eq!((code, starts), (Code::CancelledBeforeStart, 0));
@@ -346,7 +346,7 @@
     world.submit(0, "packet", "wide", 8, SHORT);
     until_final(&mut world, "wide", 30_000);
     assert!(matches!(outcome(&mut world, "wide"), Some(Outcome::Done { .. })));
-    assert_eq!(world.checker.starts_of(job("wide")), 8, "all or none, and once");
+    assert_eq!(world.checker.start_count(job("wide")), 8, "all or none, and once");
 }
 
 /// A service's worker dies. Its users notice until the replacement runs.
@@ -384,7 +384,7 @@
     world.submit(0, "bundle", "too-large", 4, SHORT);
     world.submit(0, "route", "fits", 1, SHORT);
     until_final(&mut world, "fits", 10_000);
-    assert_eq!(world.checker.starts_of(job("too-large")), 0, "two cores are free nowhere");
+    assert_eq!(world.checker.start_count(job("too-large")), 0, "two cores are free nowhere");
     for id in &ids {
         world.workers.get_mut(id).expect("it is there").set_foreign(Resources::ZERO);
     }
@@ -414,8 +414,8 @@
     let failure =
         world.job_answer(fresh).expect("an answer").expect_err("it stays with the old system");
     assert_eq!(failure.code, Code::StaysWithOldSystem);
-    assert_eq!(world.checker.starts_of(job("order-1")), 1);
-    assert_eq!(world.checker.starts_of(job("order-2")), 0);
+    assert_eq!(world.checker.start_count(job("order-1")), 1);
+    assert_eq!(world.checker.start_count(job("order-2")), 0);
 }
 
 /// Two entry instances get the same key with different content, one after the
--- a/crates/engine/tests/seeds.rs
+++ b/crates/engine/tests/seeds.rs
@@ -122,7 +122,7 @@
     world.run_ms(2_000);
     give_back(&mut world, &layout);
     world.run_ms(CALM_MS);
-    world.checker.check_once(&bookings);
+    world.checker.check_at_most_once(&bookings);
     let mut totals = Totals::default();
     for (ticket, job) in tickets {
         match world.job_answer(ticket) {
@@ -165,7 +165,9 @@
         let recorded = !world.row(&format!("job/{job}")).is_empty();
         // Requests that may be repeated are answered without a record.
         assert!(
-            recorded || world.checker.requests_of(*job) > 0 || world.checker.starts_of(*job) == 0
+            recorded
+                || world.checker.request_count(*job) > 0
+                || world.checker.start_count(*job) == 0
         );
     }
 }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -406,7 +406,7 @@
         };
         let renewed = matches!(reply, WorkerReply::Renewed { .. });
         let end_ms = arrived_ms + wait_ms;
-        if !renewed || now_ms >= end_ms || found.has_news(*since) {
+        if !renewed || now_ms >= end_ms || found.has_changes_since(*since) {
             return Step::Answer(reply);
         }
         let look_ms = end_ms.min(now_ms + LOOK_AGAIN_MS);
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -37,7 +37,7 @@
     seq: u64,
     starts: u64,
     peak: Resources,
-    lenient: bool,
+    allow_overcommit: bool,
 }
 
 #[derive(Debug)]
@@ -85,14 +85,14 @@
             seq: 1,
             starts: 0,
             peak: Resources::ZERO,
-            lenient: false,
+            allow_overcommit: false,
         }
     }
 
     /// Lets it start more than it holds, so that a check can see whether its
     /// holder would ever ask for that.
-    pub fn lenient(mut self) -> Self {
-        self.lenient = true;
+    pub fn allow_overcommit(mut self) -> Self {
+        self.allow_overcommit = true;
         self
     }
 
@@ -181,7 +181,7 @@
     }
 
     /// Whether something changed after `since`.
-    pub fn has_news(&self, since: u64) -> bool {
+    pub fn has_changes_since(&self, since: u64) -> bool {
         self.seq > since
     }
 
@@ -262,7 +262,8 @@
             Some("refused before")
         } else if now_ms >= self.lease_until_ms {
             Some("the lease has lapsed")
-        } else if !self.lenient && !self.capacity.holds(&self.in_use().plus(&task.demand)) {
+        } else if !self.allow_overcommit && !self.capacity.holds(&self.in_use().plus(&task.demand))
+        {
             Some("no room")
         } else {
             None
--- a/crates/world/src/checker.rs
+++ b/crates/world/src/checker.rs
@@ -38,11 +38,11 @@
     }
 
     /// Nothing may start on this worker after this time.
-    pub fn close(&mut self, worker: &WorkerId, from_ms: u64) {
+    pub fn forbid_starts(&mut self, worker: &WorkerId, from_ms: u64) {
         self.closed.insert(worker.clone(), from_ms);
     }
 
-    pub fn reopen(&mut self, worker: &WorkerId) {
+    pub fn allow_starts(&mut self, worker: &WorkerId) {
         self.closed.remove(worker);
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Bookings run at most once, whatever happened to their callers.
-    pub fn check_once(&self, bookings: &HashSet<JobId>) {
+    pub fn check_at_most_once(&self, bookings: &HashSet<JobId>) {
         for (job, count) in &self.requests {
             if bookings.contains(job) {
                 assert!(*count <= 1, "a booking ran {count} times: {job:?}");
@@ -131,7 +131,7 @@
     }
 
     /// Ends what is due on every worker and looks at the whole cell.
-    pub fn look(
+    pub fn check_workers(
         &mut self,
         now_ms: u64,
         workers: &mut BTreeMap<WorkerId, Worker>,
@@ -148,11 +148,11 @@
         }
     }
 
-    pub fn starts_of(&self, job: JobId) -> u32 {
+    pub fn start_count(&self, job: JobId) -> u32 {
         self.starts.range((job, 0)..=(job, u32::MAX)).map(|(_, count)| count).sum()
     }
 
-    pub fn requests_of(&self, job: JobId) -> u32 {
+    pub fn request_count(&self, job: JobId) -> u32 {
         self.requests.get(&job).copied().unwrap_or(0)
     }
 }
--- a/crates/world/src/layout.rs
+++ b/crates/world/src/layout.rs
@@ -80,7 +80,7 @@
 
 impl Layout {
     /// A cell of the target's shape: nine zones in four regions.
-    pub fn wide(daemons_per_zone: usize, workers_per_zone: u32) -> Self {
+    pub fn nine_zones(daemons_per_zone: usize, workers_per_zone: u32) -> Self {
         let mut all = Vec::new();
         for zone in 0..9 {
             for _ in 0..daemons_per_zone {
@@ -158,8 +158,8 @@
     pub fn fill(&self, world: &mut World) {
         for zone in self.zones() {
             for id in self.worker_ids(&zone) {
-                let worker =
-                    Worker::new(id.clone(), format!("{zone}-rack"), self.capacity, 1_000).lenient();
+                let worker = Worker::new(id.clone(), format!("{zone}-rack"), self.capacity, 1_000)
+                    .allow_overcommit();
                 let minion = MinionState {
                     minion: MinionId::new(format!("{id}-minion")),
                     group: "sahay".to_owned(),
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -7,8 +7,8 @@
 #![allow(missing_debug_implementations, reason = "never shown")]
 
 pub mod checker;
-pub mod count;
 pub mod layout;
+pub mod traffic;
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -54,8 +54,8 @@
 use stoatwell_standin::worker::Worker;
 
 use crate::checker::Checker;
-use crate::count::Counts;
 use crate::layout::Layout;
+use crate::traffic::TrafficCounts;
 
 pub const TICK_MS: u64 = 100;
 const CALL_TIMEOUT_MS: u64 = 500;
@@ -101,9 +101,9 @@
     pub settings: Settings,
     pub paused_until_ms: u64,
     pub stopped: bool,
-    pub counts: Counts,
+    pub counts: TrafficCounts,
     /// Real time spent in the engine, for measurements only.
-    pub busy: Duration,
+    pub engine_time: Duration,
     incarnation: u64,
     last_revision: u64,
 }
@@ -177,8 +177,8 @@
                 settings,
                 paused_until_ms: 0,
                 stopped: false,
-                counts: Counts::default(),
-                busy: Duration::ZERO,
+                counts: TrafficCounts::default(),
+                engine_time: Duration::ZERO,
                 incarnation: 0,
                 last_revision: 0,
             });
@@ -333,7 +333,7 @@
         self.nodes[index].engine.as_mut().expect("the daemon runs")
     }
 
-    pub fn node_of_zone(&self, zone: &str) -> Vec<usize> {
+    pub fn nodes_in_zone(&self, zone: &str) -> Vec<usize> {
         let matching = |index: &usize| self.nodes[*index].identity.zone.as_str() == zone;
         (0..self.nodes.len()).filter(matching).collect()
     }
@@ -421,7 +421,7 @@
         self.push(next_ms, Delivery::Tick(index));
         if index == 0 || self.nodes[0].engine.is_none() {
             self.look_at_parked();
-            self.checker.look(self.now_ms, &mut self.workers, &self.dead_workers);
+            self.checker.check_workers(self.now_ms, &mut self.workers, &self.dead_workers);
         }
         if paused_until_ms <= self.now_ms {
             self.deliver(index, incarnation, Event::Tick);
@@ -443,7 +443,7 @@
         };
         let began = Instant::now();
         let effects = engine.handle(self.now_ms, event);
-        node.busy += began.elapsed();
+        node.engine_time += began.elapsed();
         let revision = engine.catalogue().revision();
         let stopped = engine.is_stopped();
         assert!(
@@ -623,7 +623,7 @@
         };
         if let WorkerCall::Renew { wait_ms, since, .. } = &call {
             let quiet = matches!(reply, WorkerReply::Renewed { .. })
-                && self.workers.get(&worker).is_some_and(|found| !found.has_news(*since));
+                && self.workers.get(&worker).is_some_and(|found| !found.has_changes_since(*since));
             if quiet {
                 let (arrived_ms, until_ms) = (self.now_ms, self.now_ms + wait_ms);
                 self.parked.push(Parked {
@@ -688,7 +688,7 @@
             };
             if let Some(worker) = self.workers.get_mut(&parked.worker) {
                 worker.advance(now_ms);
-                if now_ms < parked.until_ms && !worker.has_news(*since) {
+                if now_ms < parked.until_ms && !worker.has_changes_since(*since) {
                     self.parked.push(parked);
                     continue;
                 }
--- a/crates/world/src/count.rs
+++ b/crates/world/src/traffic.rs
@@ -9,13 +9,13 @@
 /// What one daemon sent, received and asked so far. Bytes are those of the
 /// messages alone; what the transports add is measured on real connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct TrafficCounts {
     pub peer_messages: u64,
     pub peer_sent_bytes: u64,
     pub peer_received_bytes: u64,
     /// Sent to other regions.
-    pub far_messages: u64,
-    pub far_sent_bytes: u64,
+    pub cross_region_messages: u64,
+    pub cross_region_sent_bytes: u64,
     pub worker_calls: u64,
     pub worker_sent_bytes: u64,
     pub worker_received_bytes: u64,
@@ -24,14 +24,14 @@
     pub store_bytes: u64,
 }
 
-impl Counts {
+impl TrafficCounts {
     pub(crate) fn peer_sent(&mut self, message: &impl Serialize, far: bool) {
         let bytes = wire_bytes(message);
         self.peer_messages += 1;
         self.peer_sent_bytes += bytes;
         if far {
-            self.far_messages += 1;
-            self.far_sent_bytes += bytes;
+            self.cross_region_messages += 1;
+            self.cross_region_sent_bytes += bytes;
         }
     }
 
@@ -69,8 +69,8 @@
             peer_messages: self.peer_messages - earlier.peer_messages,
             peer_sent_bytes: self.peer_sent_bytes - earlier.peer_sent_bytes,
             peer_received_bytes: self.peer_received_bytes - earlier.peer_received_bytes,
-            far_messages: self.far_messages - earlier.far_messages,
-            far_sent_bytes: self.far_sent_bytes - earlier.far_sent_bytes,
+            cross_region_messages: self.cross_region_messages - earlier.cross_region_messages,
+            cross_region_sent_bytes: self.cross_region_sent_bytes - earlier.cross_region_sent_bytes,
             worker_calls: self.worker_calls - earlier.worker_calls,
             worker_sent_bytes: self.worker_sent_bytes - earlier.worker_sent_bytes,
             worker_received_bytes: self.worker_received_bytes - earlier.worker_received_bytes,
