--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -1,4 +1,4 @@
-//! Questions to the platform and its answers.
+//! Requests to the platform and its replies.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -15,7 +15,7 @@
 use stoatwell_model::worker::Token;
 use stoatwell_model::worker::WorkerState;
 
-/// A call that brought no answer. The difference decides every retry.
+/// A call that failed. The variant decides whether the call may be retried.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, displaydoc::Display)]
 #[serde(rename_all = "snake_case")]
 pub enum CallError {
@@ -30,76 +30,76 @@
 impl std::error::Error for CallError {}
 
 impl CallError {
-    /// Whether the call surely had no effect.
+    /// Whether the call is known to have had no effect.
     pub fn is_without_effect(&self) -> bool {
         !matches!(self, Self::NoAnswer(_))
     }
 }
 
-/// A question to the table, the object store or the instance list.
+/// A request to the table, the object store or the instance list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoreCall {
-    /// Writes all rows or none.
+    /// Applies a transaction: all of its writes or none.
     Transact(Transaction),
     /// Reads rows by key.
     Read {
-        /// The keys.
+        /// Keys of the rows, in the order of the reply.
         keys: Vec<String>,
     },
-    /// Reads rows in the order of their keys.
+    /// Reads rows in key order.
     Scan {
-        /// Start of the keys.
+        /// Prefix that the keys must have.
         prefix: String,
-        /// Only keys after this one; empty for all.
+        /// Returns only keys greater than this one; empty to start at the first.
         after: String,
-        /// Rows at most.
+        /// Maximum number of rows; the store may return fewer.
         limit: u32,
     },
-    /// Keeps a large body.
+    /// Stores a body that is too large for a row.
     PutObject {
-        /// Its key.
+        /// Key in the object store.
         key: String,
-        /// The body.
+        /// The whole body; replaces an earlier one.
         body: String,
     },
-    /// Reads a large body.
+    /// Reads a body from the object store.
     GetObject {
-        /// Its key.
+        /// Key in the object store.
         key: String,
     },
-    /// Removes a large body.
+    /// Removes a body from the object store.
     DeleteObject {
-        /// Its key.
+        /// Key in the object store.
         key: String,
     },
-    /// Reads the lagging list of instances: every entry instance, and the
-    /// workers of one zone or of all.
+    /// Reads the instance list, which lags behind reality: every entry
+    /// instance, and the workers of one zone or of all zones.
     Instances {
-        /// The zone.
+        /// Zone whose workers are listed; `None` for the workers of all zones.
         zone: Option<ZoneName>,
     },
 }
 
 impl StoreCall {
-    /// Whether it counts against the writes of the table.
+    /// Whether the call counts as a write of the store.
     pub fn is_write(&self) -> bool {
         matches!(self, Self::Transact(_) | Self::PutObject { .. } | Self::DeleteObject { .. })
     }
 }
 
-/// Rows that change together, if all checks hold.
+/// Rows that change atomically if all checks hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold.
+    /// Row versions that must match, or nothing is written.
     pub checks: Vec<Check>,
-    /// Rows to write.
+    /// Rows to insert or overwrite.
     pub puts: Vec<Put>,
-    /// Keys to remove.
+    /// Keys of the rows to remove.
     pub deletes: Vec<String>,
 }
 
-/// A row must be at this version.
+/// A precondition on the version of a row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Check {
     /// The row's key.
@@ -122,59 +122,59 @@
 pub struct Row {
     /// The row's key.
     pub key: String,
-    /// Its version; 0 where it does not exist.
+    /// Its version; 0 if it does not exist.
     pub version: u64,
-    /// Its value; empty where it does not exist.
+    /// Its value; empty if it does not exist.
     pub value: String,
 }
 
-/// An answer of the store.
+/// A reply of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoreReply {
-    /// The transaction took effect; all its rows have this version.
+    /// The transaction took effect.
     Committed {
-        /// The version.
+        /// New version of all rows that it wrote.
         version: u64,
     },
-    /// The transaction had no effect; these checked rows differ.
+    /// The transaction had no effect because checks failed.
     Conflict {
-        /// The rows as they are.
+        /// Current state of the rows whose check failed.
         rows: Vec<Row>,
     },
-    /// Rows that were read.
+    /// The reply to a read or a scan.
     Rows {
-        /// The rows.
+        /// The rows; a read also returns those that do not exist, at version 0.
         rows: Vec<Row>,
     },
-    /// An object, if there is one.
+    /// The reply to reading an object.
     Object {
-        /// Its body.
+        /// The body; `None` if there is no such object.
         body: Option<String>,
     },
-    /// The object was kept or removed.
+    /// The object was stored or removed.
     ObjectStored,
-    /// The instance list.
+    /// The reply to reading the instance list.
     Instances {
-        /// The instances.
+        /// Every entry instance and the workers that were asked for.
         instances: Vec<Instance>,
     },
 }
 
-/// One line of the instance list.
+/// One entry of the instance list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its name: a daemon's or a worker's.
+    /// Name of the daemon or worker that runs on it.
     pub name: String,
-    /// What runs there.
+    /// Whether a daemon or a worker runs there.
     pub kind: InstanceKind,
     /// Its availability zone.
     pub zone: ZoneName,
     /// Its region.
     pub region: RegionName,
-    /// IP and port.
+    /// IP and port where it is reached.
     pub address: String,
-    /// Whether it stays.
+    /// Whether the platform is about to remove it.
     pub state: InstanceState,
 }
 
@@ -182,151 +182,153 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceKind {
-    /// A daemon.
+    /// An entry instance, which runs a daemon.
     Entry,
-    /// Tasks and minions.
+    /// A worker, which runs tasks and hosts minions.
     Worker,
 }
 
-/// Whether an instance stays.
+/// Lifecycle state of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
-    /// It stays.
+    /// No removal is planned.
     Live,
-    /// The platform will take it away.
+    /// The platform is going to remove it.
     Leaving,
 }
 
-/// A question to a worker.
+/// A request to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkerCall {
-    /// Asks to be its holder.
+    /// Asks for the lease of the worker.
     Acquire {
-        /// Who asks.
+        /// The daemon that asks.
         holder: DaemonId,
-        /// A token above every earlier one.
+        /// Fencing token; must be higher than every earlier one.
         token: Token,
-        /// How long the lease runs from when the worker grants it.
+        /// Duration of the lease, counted from when the worker grants it.
         ttl_ms: u64,
     },
-    /// Prolongs the lease and hears what changed; waits for a change if there is none.
+    /// Renews the lease and returns what changed. This is a long poll: without a
+    /// change the worker delays its reply.
     Renew {
-        /// The holder's token.
+        /// Fencing token of the holder.
         token: Token,
-        /// How long the lease runs from now.
+        /// Duration of the lease, counted from when the call arrives.
         ttl_ms: u64,
-        /// How long to wait for a change.
+        /// How long the worker waits for a change at most.
         wait_ms: u64,
-        /// The last change heard of.
+        /// Sequence number of the last change that the holder has received.
         since: u64,
-        /// Finished attempts that the worker may forget.
+        /// Finished attempts that the holder has processed; the worker forgets them.
         acknowledged: Vec<AttemptId>,
     },
-    /// Gives the lease back.
+    /// Releases the lease before it expires.
     Release {
-        /// The holder's token.
+        /// Fencing token of the holder.
         token: Token,
     },
     /// Starts tasks.
     Start {
-        /// The holder's token.
+        /// Fencing token of the holder.
         token: Token,
-        /// The tasks.
+        /// The attempts to start; each gets a reply of its own.
         tasks: Vec<StartTask>,
     },
-    /// Ends or slows tasks.
+    /// Stops, checkpoints or throttles tasks.
     Stop {
-        /// The holder's token.
+        /// Fencing token of the holder.
         token: Token,
-        /// The attempts.
+        /// Running attempts, or ones whose start may still arrive.
         attempts: Vec<AttemptId>,
-        /// How.
+        /// What to do with them.
         mode: StopMode,
     },
 }
 
-/// An answer of a worker.
+/// A reply of a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkerReply {
-    /// The caller is the holder; older tokens are refused from now on.
+    /// The caller holds the lease; the worker refuses lower tokens from now on.
     Granted {
-        /// All that the worker knows.
+        /// Complete state of the worker.
         state: WorkerState,
-        /// The last change in it.
+        /// Sequence number of the last change that the state includes.
         seq: u64,
     },
-    /// The lease goes on.
+    /// The lease was renewed.
     Renewed {
-        /// Tasks that changed since.
+        /// Tasks that changed after the sequence number in the call.
         changes: Vec<TaskReport>,
-        /// Requests in work at each minion.
+        /// State of every minion on the worker, with its requests in progress.
         minions: Vec<MinionState>,
-        /// Capacity used by something that is not ours.
+        /// Resources used by processes that this system did not start.
         foreign: Resources,
-        /// The last change in it.
+        /// Sequence number of the last change that the reply includes.
         seq: u64,
     },
-    /// The lease was given back.
+    /// The lease was released.
     Released,
-    /// What became of each start, in order.
+    /// The reply to a start call.
     Started {
-        /// The replies.
+        /// One reply per task, in the order of the call.
         replies: Vec<StartReply>,
     },
-    /// The tasks named were told.
+    /// The stop was passed on to the attempts named; they may not have ended yet.
     Stopped,
-    /// The caller is not the holder.
+    /// The caller does not hold the lease, or its token is outdated.
     NotHolder {
-        /// Who is, if anyone.
+        /// The daemon that does; `None` if the lease was released or never granted.
         holder: Option<DaemonId>,
-        /// The highest token granted.
+        /// The highest token that was granted.
         token: Token,
-        /// How long that lease still runs.
+        /// Milliseconds until that lease expires; 0 if it has expired.
         expires_ms: u64,
     },
 }
 
-/// A question to a minion.
+/// A call to a minion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MinionCall {
-    /// A request to answer.
+    /// Sends a request.
     Ask {
-        /// Names the request; the answer carries it too.
+        /// Identifies the request; the answer repeats it.
         attempt: AttemptId,
-        /// How long its answer is of use.
+        /// For how many milliseconds the answer is still useful.
         deadline_ms: u64,
-        /// The request.
+        /// Body of the request.
         body: String,
     },
-    /// Asks what became of a request, and forbids it where it never came.
+    /// Asks for the state of a request. If it never arrived, the minion refuses
+    /// it from now on.
     Seal {
-        /// The request.
+        /// Identifies the request.
         attempt: AttemptId,
     },
 }
 
-/// An answer of a minion.
+/// A reply of a minion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MinionReply {
-    /// The whole answer to this very request.
+    /// The complete answer to the request with this attempt id.
     Answer {
-        /// The answer.
+        /// Body of the answer.
         body: String,
     },
-    /// All slots are busy; the request was not begun.
+    /// All slots are busy; the request was not started.
     Busy,
-    /// The minion failed on it.
+    /// The minion failed to answer the request.
     Failed {
-        /// Why.
+        /// Error text of the minion.
         reason: String,
     },
-    /// It never came and is refused from now on.
+    /// The request never arrived and is refused from now on.
     NeverStarted,
-    /// It is being worked on.
+    /// The request is still in progress.
     Running,
 }
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP.
+//! The HTTP implementation of [`Platform`].
 
 use std::time::Duration;
 
@@ -19,23 +19,23 @@
 use crate::call::WorkerReply;
 use crate::clients::Clients;
 
-/// Header that names a request to a minion, on the way there and back.
+/// Header that identifies a request to a minion; the response repeats it.
 pub const ATTEMPT_HEADER: &str = "x-attempt-id";
-/// Header that tells a minion how long the answer is of use.
+/// Header that tells a minion for how many milliseconds its answer is still useful.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// Header by which a minion marks an answer that is not an ordinary one.
+/// Header that a minion sets when its response is something other than an answer.
 pub const REPLY_HEADER: &str = "x-reply";
 
-/// Time limits of calls to the platform.
+/// Timeouts of calls to the platform.
 #[derive(Clone, Copy, Debug)]
 pub struct CallTimeouts {
     /// For the table and the object store.
     pub store_ms: u64,
-    /// For a worker, beyond the time it was asked to wait.
+    /// For a worker, in addition to the time that the call asks it to wait.
     pub worker_ms: u64,
 }
 
-/// The platform reached over HTTP.
+/// A [`Platform`] that is reached over HTTP.
 #[derive(Debug)]
 pub struct HttpPlatform {
     store_address: String,
@@ -44,12 +44,12 @@
 }
 
 impl HttpPlatform {
-    /// A client that finds the store at this IP and port.
+    /// Creates a client whose store is at this IP and port.
     pub fn new(store_address: impl Into<String>, timeouts: CallTimeouts) -> Self {
         Self { store_address: store_address.into(), timeouts, clients: Clients::default() }
     }
 
-    async fn send(&self, address: &str, request: RequestBuilder) -> Result<Answer, CallError> {
+    async fn send(&self, address: &str, request: RequestBuilder) -> Result<RawResponse, CallError> {
         let result = receive(request).await;
         if let Err(CallError::NoAnswer(_)) = &result {
             self.clients.forget(address);
@@ -71,11 +71,11 @@
             .post(format!("http://{address}{path}"))
             .timeout(Duration::from_millis(timeout_ms))
             .json(body);
-        let answer = self.send(address, request).await?;
-        serde_json::from_str(&answer.body).map_err(|error| CallError::NoAnswer(error.to_string()))
+        let response = self.send(address, request).await?;
+        serde_json::from_str(&response.body).map_err(|error| CallError::NoAnswer(error.to_string()))
     }
 
-    async fn ask_minion(
+    async fn call_minion(
         &self,
         address: &str,
         path: &str,
@@ -92,19 +92,20 @@
             .header(ATTEMPT_HEADER, attempt.to_string())
             .header(DEADLINE_HEADER, deadline_ms)
             .body(body);
-        let answer = self.send(address, request).await?;
-        // An answer that names another request came late or crossed; handing
-        // it on would give a caller somebody else's answer.
-        if answer.attempt.as_deref() != Some(attempt.to_string().as_str()) {
+        let response = self.send(address, request).await?;
+        // A response with another attempt id is late or belongs to another
+        // request; returning it would give a caller the answer to someone
+        // else's request.
+        if response.attempt.as_deref() != Some(attempt.to_string().as_str()) {
             self.clients.forget(address);
             return Err(CallError::NoAnswer("the answer names another request".to_owned()));
         }
-        Ok(match answer.reply.as_deref() {
-            None => MinionReply::Answer { body: answer.body },
+        Ok(match response.reply.as_deref() {
+            None => MinionReply::Answer { body: response.body },
             Some("busy") => MinionReply::Busy,
             Some("never-started") => MinionReply::NeverStarted,
             Some("running") => MinionReply::Running,
-            Some(_) => MinionReply::Failed { reason: answer.body },
+            Some(_) => MinionReply::Failed { reason: response.body },
         })
     }
 }
@@ -137,25 +138,25 @@
         match call {
             MinionCall::Ask { attempt, deadline_ms, body } => {
                 let path = format!("/minions/{minion}/requests");
-                self.ask_minion(address, &path, attempt, deadline_ms, body).await
+                self.call_minion(address, &path, attempt, deadline_ms, body).await
             }
             MinionCall::Seal { attempt } => {
                 let path = format!("/minions/{minion}/seal");
-                self.ask_minion(address, &path, attempt, self.timeouts.worker_ms, String::new())
+                self.call_minion(address, &path, attempt, self.timeouts.worker_ms, String::new())
                     .await
             }
         }
     }
 }
 
-/// What came back, before it is understood.
-struct Answer {
+/// Body and relevant headers of a response, not yet parsed.
+struct RawResponse {
     body: String,
     attempt: Option<String>,
     reply: Option<String>,
 }
 
-async fn receive(request: RequestBuilder) -> Result<Answer, CallError> {
+async fn receive(request: RequestBuilder) -> Result<RawResponse, CallError> {
     let response = request.send().await.map_err(|error| classify(&error))?;
     let status = response.status();
     let header = |name: &str| {
@@ -171,10 +172,11 @@
     if !status.is_success() {
         return Err(CallError::NoAnswer(format!("{status}: {body}")));
     }
-    Ok(Answer { body, attempt, reply })
+    Ok(RawResponse { body, attempt, reply })
 }
 
-/// Only a connection that was never made proves that nothing was sent.
+/// Maps an error to [`CallError::NotSent`] only if no connection was made; every other
+/// error leaves open whether the request was sent.
 fn classify(error: &reqwest::Error) -> CallError {
     if error.is_connect() {
         return CallError::NotSent(error.to_string());
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,8 +1,8 @@
-//! What the platform offers, as one trait, with its HTTP client.
+//! The interface to the platform as a trait, and its HTTP client.
 //!
-//! [`call`] holds the questions and answers, [`Platform`] is the edge that
-//! tests replace, and [`http`] speaks the protocol of `docs/platform.md`. The
-//! protocol is known here and in the stand-in and nowhere else.
+//! [`call`] defines the requests and replies, [`Platform`] is the trait that
+//! tests replace, and [`http`] implements the protocol of `docs/platform.md`.
+//! Only this crate and the stand-in know that protocol.
 
 pub mod call;
 mod clients;
@@ -28,12 +28,12 @@
 use stoatwell_model::MinionId;
 use stoatwell_model::WorkerId;
 
-/// Everything outside the project's own processes.
+/// All services outside the project's own processes: store, workers and minions.
 pub trait Platform: Send + Sync + 'static {
-    /// Asks the table, the object store or the instance list.
+    /// Calls the table, the object store or the instance list.
     fn store(&self, call: StoreCall) -> impl Future<Output = Result<StoreReply, CallError>> + Send;
 
-    /// Asks a worker.
+    /// Calls a worker at this IP and port.
     fn worker(
         &self,
         address: &str,
@@ -41,7 +41,7 @@
         call: WorkerCall,
     ) -> impl Future<Output = Result<WorkerReply, CallError>> + Send;
 
-    /// Asks a minion.
+    /// Calls a minion at this IP and port.
     fn minion(
         &self,
         address: &str,
