--- a/crates/standin/src/config.rs
+++ b/crates/standin/src/config.rs
@@ -1,4 +1,4 @@
-//! What the stand-in plays.
+//! Configuration of the stand-in: the instances that it simulates.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,65 +6,65 @@
 use stoatwell_model::Resources;
 use stoatwell_model::ZoneName;
 
-/// The whole configuration.
+/// The configuration file of the stand-in.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// IP and port to listen at; port 0 takes a free one.
+    /// IP and port to listen on; port 0 picks a free one.
     #[serde(default = "loopback")]
     pub listen: String,
-    /// How late the instance list is.
+    /// Delay after which a change shows in the instance list.
     #[serde(default)]
     pub instance_lag_ms: u64,
-    /// How late usage reports are.
+    /// Delay after its start until a task reports its usage.
     #[serde(default = "usage_lag")]
     pub usage_lag_ms: u64,
-    /// Entry instances to list.
+    /// Entry instances in the instance list; the stand-in does not run them.
     #[serde(default)]
     pub entries: Vec<EntryInstance>,
-    /// Groups of equal workers.
+    /// Groups of identical workers, which the stand-in simulates.
     #[serde(default)]
     pub workers: Vec<WorkerGroup>,
 }
 
-/// One entry instance to list.
+/// An entry instance in the instance list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntryInstance {
-    /// The daemon's name.
+    /// Name of the daemon that runs on it.
     pub name: String,
     /// Its availability zone.
     pub zone: ZoneName,
     /// Its region.
     pub region: RegionName,
-    /// IP and port where peers reach it.
+    /// IP and port where other daemons reach it.
     pub address: String,
 }
 
-/// Equal workers in one availability zone.
+/// Identical workers in one availability zone.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkerGroup {
-    /// Start of their names; a number from 1 follows.
+    /// Prefix of their names, followed by a number from 1.
     pub prefix: String,
-    /// How many.
+    /// Number of workers.
     pub count: u32,
-    /// How many stand in one rack.
+    /// Number of workers in one rack.
     #[serde(default = "rack_size")]
     pub per_rack: u32,
     /// Their availability zone.
     pub zone: ZoneName,
     /// Their region.
     pub region: RegionName,
-    /// What each holds.
+    /// Capacity of each worker.
     pub capacity: Resources,
-    /// The group of the minion that each hosts; none where absent.
+    /// Group of the minion that each worker hosts; `None` for no minions.
     #[serde(default)]
     pub minion_group: Option<String>,
-    /// Slots of each minion.
+    /// Requests that each minion serves at once.
     #[serde(default = "minion_slots")]
     pub minion_slots: u32,
-    /// Connections of each minion.
+    /// Number of connections that each minion reports.
     #[serde(default = "minion_connections")]
     pub minion_connections: u32,
 }
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -1,22 +1,22 @@
-//! Faults that can be set while the stand-in runs.
+//! Fault injection while the stand-in runs.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The faults in force; a new set replaces the old one.
+/// The active faults; setting new ones replaces all earlier ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
     /// The store refuses every call.
     pub store_down: bool,
-    /// The store takes this long to answer.
+    /// Delay of every reply of the store, in milliseconds.
     pub store_delay_ms: u64,
-    /// The store applies every n-th write and loses its answer; 0 is never.
+    /// The store applies every n-th write, but its reply is lost; 0 for never.
     pub store_lose_every: u64,
-    /// Workers on which every task fails at once.
+    /// Names of workers on which every new task fails right after its start.
     pub failing_workers: Vec<String>,
-    /// Workers and minions that take calls and never answer.
+    /// Names of workers that accept calls and never answer.
     pub dead_workers: Vec<String>,
-    /// Connections open when this was set hang for good; new ones work.
+    /// Connections opened before this was set hang forever; new ones work.
     pub silence_connections: bool,
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,9 @@
-//! The stand-in for the platform, its workers and minions, for development and tests.
+//! A stand-in that simulates the platform, its workers and minions, for development and tests.
 //!
-//! It answers the protocol of `docs/platform.md` and holds no scheduling: a
-//! table and an object store in memory, an instance list that lags, workers
-//! that run pretended tasks under leases, and minions with slots. Faults are
-//! set over HTTP. One process plays all of them on one port.
+//! It implements the server side of `docs/platform.md` without any scheduling:
+//! an in-memory table and object store, an instance list with a delay, workers
+//! that run simulated tasks under leases, and minions with slots. Faults are
+//! set over HTTP. One process serves all of them on one port.
 
 pub mod config;
 pub mod faults;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-in as a program.
+//! Command line of the stand-in.
 
 use std::error::Error;
 use std::fs;
@@ -32,12 +32,12 @@
     let config = Arg::new("config").long("config").value_name("FILE").required(true);
     let count = Arg::new("count").value_parser(value_parser!(u16)).default_value("1");
     Command::new("stoatwell-standin")
-        .about("Plays the platform, its workers and minions, for development and tests")
-        .subcommand(Command::new("run").about("Answer until ended").arg(config))
+        .about("Simulates the platform, its workers and minions for development and tests")
+        .subcommand(Command::new("run").about("Serve until the process is ended").arg(config))
         .subcommand(Command::new("ports").about("Print free loopback ports").arg(count))
 }
 
-/// All listeners are open at once, so that no port is printed twice.
+/// Keeps all listeners open until the ports are printed, so that no port is printed twice.
 fn print_free_ports(count: u16) -> Result<(), Box<dyn Error>> {
     let mut listeners = Vec::new();
     for _ in 0..count {
--- a/crates/standin/src/minion.rs
+++ b/crates/standin/src/minion.rs
@@ -1,55 +1,55 @@
-//! One pretended minion: slots, and answers that tell what was asked.
+//! A simulated minion: slots, and a record of the requests it has received.
 
 use std::collections::HashMap;
 
 use stoatwell_model::AttemptId;
 use stoatwell_model::worker::MinionState;
 
-/// One minion.
+/// A simulated minion.
 #[derive(Debug)]
 pub struct Minion {
-    /// What its worker reports of it.
+    /// State as its worker reports it.
     pub state: MinionState,
     requests: HashMap<AttemptId, Progress>,
     peak_busy: u32,
-    runs: u64,
+    started: u64,
 }
 
-/// How far a request is.
+/// State of a request at the minion.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// In work.
+    /// In progress; it holds a slot.
     Running,
-    /// Answered.
+    /// Finished, with its answer.
     Answered(String),
-    /// It never came and may not come any more.
+    /// It had not arrived when it was sealed and is refused if it still arrives.
     Sealed,
 }
 
-/// Whether a request may be worked on.
+/// Result of [`Minion::begin`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It holds a slot now.
-    Begun,
-    /// No slot is free.
+    /// The request was admitted and holds a slot.
+    Admitted,
+    /// No slot is free; the request was not recorded.
     Busy,
-    /// It was refused for good.
+    /// The request was sealed before it arrived and is refused.
     Sealed,
-    /// It has been here before.
-    Seen(Progress),
+    /// The request arrived before; this is its state.
+    Duplicate(Progress),
 }
 
 impl Minion {
-    /// An idle minion.
+    /// Creates a minion that has received no requests.
     pub fn new(state: MinionState) -> Self {
-        Self { state, requests: HashMap::new(), peak_busy: 0, runs: 0 }
+        Self { state, requests: HashMap::new(), peak_busy: 0, started: 0 }
     }
 
-    /// Takes a slot for a request.
+    /// Admits a request and takes a slot for it, unless it is a duplicate or was sealed.
     pub fn begin(&mut self, attempt: AttemptId) -> Admission {
         match self.requests.get(&attempt) {
             Some(Progress::Sealed) => return Admission::Sealed,
-            Some(progress) => return Admission::Seen(progress.clone()),
+            Some(progress) => return Admission::Duplicate(progress.clone()),
             None => {}
         }
         if self.state.busy >= self.state.slots {
@@ -57,24 +57,24 @@
         }
         self.state.busy += 1;
         self.peak_busy = self.peak_busy.max(self.state.busy);
-        self.runs += 1;
+        self.started += 1;
         self.requests.insert(attempt, Progress::Running);
-        Admission::Begun
+        Admission::Admitted
     }
 
-    /// Gives the slot back.
+    /// Releases the slot of a request and records its answer.
     pub fn finish(&mut self, attempt: AttemptId, answer: String) {
         self.state.busy = self.state.busy.saturating_sub(1);
         self.requests.insert(attempt, Progress::Answered(answer));
     }
 
-    /// Tells what became of a request and forbids it where it never came.
+    /// Returns the state of a request. One that never arrived is refused from now on.
     pub fn seal(&mut self, attempt: AttemptId) -> Progress {
         self.requests.entry(attempt).or_insert(Progress::Sealed).clone()
     }
 
-    /// Requests begun, and the most at once.
-    pub fn record(&self) -> (u64, u32) {
-        (self.runs, self.peak_busy)
+    /// Returns the number of admitted requests and the most that were in progress at once.
+    pub fn stats(&self) -> (u64, u32) {
+        (self.started, self.peak_busy)
     }
 }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that plays platform, workers and minions on one port.
+//! The HTTP server that simulates platform, workers and minions on one port.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -57,91 +57,93 @@
 use crate::worker::Worker;
 
 const BODY_BYTES_MAX: usize = 16 * 1024 * 1024;
-/// How often a waiting renewal looks again, at the longest.
-const LOOK_AGAIN_MS: u64 = 250;
+/// Longest interval between two checks for changes during a long-polled renewal.
+const RECHECK_INTERVAL_MS: u64 = 250;
 
-/// A running stand-in; it ends when this is dropped.
+/// A running stand-in; dropping it stops the server.
 #[derive(Debug)]
 pub struct Standin {
-    /// IP and port where it answers.
+    /// IP and port where it listens.
     pub address: SocketAddr,
-    world: Arc<World>,
+    simulator: Arc<Simulator>,
     server: JoinHandle<()>,
 }
 
-/// What became of everything, for checks.
+/// Statistics of everything that the stand-in did, for tests; the body of `/record`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Record {
-    /// Calls to the store.
+    /// Counters of the store, by name.
     pub store: BTreeMap<String, u64>,
-    /// Tasks started, by worker.
+    /// Number of started tasks, by worker.
     pub starts: BTreeMap<String, u64>,
-    /// The most that ran at once, by worker.
+    /// Peak of the resources that running tasks demanded at once, by worker.
     pub peaks: BTreeMap<String, Resources>,
-    /// Requests begun, by minion.
+    /// Number of admitted requests, by minion.
     pub requests: BTreeMap<String, u64>,
-    /// The most requests at once, by minion.
+    /// Peak number of requests in progress, by minion.
     pub peak_busy: BTreeMap<String, u32>,
 }
 
 #[derive(Debug)]
-struct World {
-    state: Mutex<Inner>,
+struct Simulator {
+    state: Mutex<SimulatorState>,
     changed: Notify,
     started: Instant,
     instance_lag_ms: u64,
 }
 
 #[derive(Debug)]
-struct Inner {
+struct SimulatorState {
     store: Store,
     writes: u64,
     faults: Faults,
     workers: HashMap<WorkerId, Worker>,
     minions: HashMap<MinionId, Minion>,
-    minions_of: HashMap<WorkerId, Vec<MinionId>>,
+    minions_by_worker: HashMap<WorkerId, Vec<MinionId>>,
     instances: Vec<(u64, Instance)>,
     connections: HashSet<SocketAddr>,
     silenced: HashSet<SocketAddr>,
 }
 
 impl Standin {
-    /// Starts to answer.
+    /// Binds the configured address and starts the server.
+    ///
+    /// Fails if the address cannot be bound.
     pub async fn start(config: Config) -> io::Result<Self> {
         let listener = TcpListener::bind(&config.listen).await?;
         let address = listener.local_addr()?;
-        let world = Arc::new(World::new(&config, address));
-        let router = router(Arc::clone(&world));
+        let simulator = Arc::new(Simulator::new(&config, address));
+        let router = router(Arc::clone(&simulator));
         let service = router.into_make_service_with_connect_info::<SocketAddr>();
         let server = tokio::spawn(async move {
             let result = axum::serve(listener, service).await;
             if let Err(error) = result {
-                tracing::error!(%error, "stand-in ended");
+                tracing::error!(%error, "HTTP server of the stand-in failed; it stops answering");
             }
         });
-        Ok(Self { address, world, server })
+        Ok(Self { address, simulator, server })
     }
 
-    /// Replaces the faults in force.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: Faults) {
-        self.world.set_faults(faults);
+        self.simulator.set_faults(faults);
     }
 
-    /// Adds or replaces a line of the instance list.
+    /// Adds or replaces an entry of the instance list, which shows it after the configured delay.
     pub fn set_instance(&self, instance: Instance) {
-        self.world.set_instance(instance);
+        self.simulator.set_instance(instance);
     }
 
-    /// What became of everything so far.
+    /// Statistics since the start.
     pub fn record(&self) -> Record {
-        self.world.lock().record()
+        self.simulator.lock().record()
     }
 
-    /// Waits for the server, which ends only with the process.
+    /// Serves until the process ends or the server fails.
     pub async fn run(mut self) {
         let result = (&mut self.server).await;
         if let Err(error) = result {
-            tracing::error!(%error, "stand-in ended");
+            tracing::error!(%error, "HTTP server of the stand-in failed; it stops answering");
         }
     }
 }
@@ -152,15 +154,15 @@
     }
 }
 
-impl World {
+impl Simulator {
     fn new(config: &Config, address: SocketAddr) -> Self {
-        let mut inner = Inner {
+        let mut state = SimulatorState {
             store: Store::default(),
             writes: 0,
             faults: Faults::default(),
             workers: HashMap::new(),
             minions: HashMap::new(),
-            minions_of: HashMap::new(),
+            minions_by_worker: HashMap::new(),
             instances: Vec::new(),
             connections: HashSet::new(),
             silenced: HashSet::new(),
@@ -174,22 +176,22 @@
                 address: entry.address.clone(),
                 state: InstanceState::Live,
             };
-            inner.instances.push((0, instance));
+            state.instances.push((0, instance));
         }
         for group in &config.workers {
             for number in 1..=group.count {
-                inner.add_worker(group, number, address, config.usage_lag_ms);
+                state.add_worker(group, number, address, config.usage_lag_ms);
             }
         }
         Self {
-            state: Mutex::new(inner),
+            state: Mutex::new(state),
             changed: Notify::new(),
             started: Instant::now(),
             instance_lag_ms: config.instance_lag_ms,
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, SimulatorState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -198,24 +200,24 @@
     }
 
     fn set_faults(&self, faults: Faults) {
-        let mut inner = self.lock();
-        inner.silenced =
-            if faults.silence_connections { inner.connections.clone() } else { HashSet::new() };
-        inner.faults = faults;
+        let mut state = self.lock();
+        state.silenced =
+            if faults.silence_connections { state.connections.clone() } else { HashSet::new() };
+        state.faults = faults;
     }
 
     fn set_instance(&self, instance: Instance) {
         let visible_ms = self.now_ms() + self.instance_lag_ms;
-        let mut inner = self.lock();
-        inner.instances.push((visible_ms, instance));
+        let mut state = self.lock();
+        state.instances.push((visible_ms, instance));
     }
 
-    /// Hangs for good on a connection that was silenced.
-    async fn hear(&self, from: SocketAddr) {
+    /// Remembers the connection of a call; never returns if that connection was silenced.
+    async fn track_connection(&self, from: SocketAddr) {
         let silenced = {
-            let mut inner = self.lock();
-            inner.connections.insert(from);
-            inner.silenced.contains(&from)
+            let mut state = self.lock();
+            state.connections.insert(from);
+            state.silenced.contains(&from)
         };
         if silenced {
             pending::<()>().await;
@@ -223,7 +225,7 @@
     }
 }
 
-impl Inner {
+impl SimulatorState {
     fn add_worker(&mut self, group: &WorkerGroup, number: u32, address: SocketAddr, lag_ms: u64) {
         let name = format!("{}{number}", group.prefix);
         let rack = format!("{}rack{}", group.prefix, (number - 1) / group.per_rack.max(1));
@@ -252,12 +254,12 @@
             busy: 0,
         };
         self.minions.insert(minion.clone(), Minion::new(state));
-        self.minions_of.entry(worker).or_default().push(minion);
+        self.minions_by_worker.entry(worker).or_default().push(minion);
     }
 
     fn minions_on(&self, worker: &WorkerId) -> Vec<MinionState> {
         let mut states = Vec::new();
-        for minion in self.minions_of.get(worker).into_iter().flatten() {
+        for minion in self.minions_by_worker.get(worker).into_iter().flatten() {
             states.extend(self.minions.get(minion).map(|minion| minion.state.clone()));
         }
         states
@@ -294,12 +296,12 @@
             peak_busy: BTreeMap::new(),
         };
         for (id, worker) in &self.workers {
-            let (starts, peak) = worker.record();
+            let (starts, peak) = worker.stats();
             record.starts.insert(id.to_string(), starts);
             record.peaks.insert(id.to_string(), peak);
         }
         for (id, minion) in &self.minions {
-            let (runs, peak_busy) = minion.record();
+            let (runs, peak_busy) = minion.stats();
             record.requests.insert(id.to_string(), runs);
             record.peak_busy.insert(id.to_string(), peak_busy);
         }
@@ -307,7 +309,7 @@
     }
 }
 
-fn router(world: Arc<World>) -> Router {
+fn router(simulator: Arc<Simulator>) -> Router {
     Router::new()
         .route("/store", post(store))
         .route("/workers/{worker}", post(worker))
@@ -318,59 +320,61 @@
         .route("/instances", post(set_instance))
         .route("/record", get(record))
         .layer(DefaultBodyLimit::max(BODY_BYTES_MAX))
-        .with_state(world)
+        .with_state(simulator)
 }
 
 async fn store(
-    State(world): State<Arc<World>>,
+    State(simulator): State<Arc<Simulator>>,
     ConnectInfo(from): ConnectInfo<SocketAddr>,
     Json(call): Json<StoreCall>,
 ) -> Response {
-    world.hear(from).await;
+    simulator.track_connection(from).await;
     let (down, delay_ms) = {
-        let inner = world.lock();
-        (inner.faults.store_down, inner.faults.store_delay_ms)
+        let state = simulator.lock();
+        (state.faults.store_down, state.faults.store_delay_ms)
     };
     if down {
         return (StatusCode::SERVICE_UNAVAILABLE, "the store is down").into_response();
     }
     tokio::time::sleep(Duration::from_millis(delay_ms)).await;
-    let now_ms = world.now_ms();
-    let mut inner = world.lock();
+    let now_ms = simulator.now_ms();
+    let mut state = simulator.lock();
     if let StoreCall::Instances { zone } = &call {
-        let instances = inner.instances(now_ms, zone.as_ref());
+        let instances = state.instances(now_ms, zone.as_ref());
         return Json(StoreReply::Instances { instances }).into_response();
     }
     let is_write = call.is_write();
-    let reply = inner.store.call(call);
-    inner.writes += u64::from(is_write);
-    let lose_every = inner.faults.store_lose_every;
-    if is_write && lose_every > 0 && inner.writes.is_multiple_of(lose_every) {
+    let reply = state.store.call(call);
+    state.writes += u64::from(is_write);
+    let lose_every = state.faults.store_lose_every;
+    if is_write && lose_every > 0 && state.writes.is_multiple_of(lose_every) {
         return (StatusCode::INTERNAL_SERVER_ERROR, "the answer was lost").into_response();
     }
     Json(reply).into_response()
 }
 
 async fn worker(
-    State(world): State<Arc<World>>,
+    State(simulator): State<Arc<Simulator>>,
     ConnectInfo(from): ConnectInfo<SocketAddr>,
     Path(worker): Path<String>,
     Json(call): Json<WorkerCall>,
 ) -> Response {
-    world.hear(from).await;
-    let arrived_ms = world.now_ms();
+    simulator.track_connection(from).await;
+    let arrived_ms = simulator.now_ms();
     loop {
-        let notified = world.changed.notified();
-        let wait_ms = match world.step(&worker, &call, arrived_ms) {
-            Step::Answer(reply) => {
+        let notified = simulator.changed.notified();
+        let wait_ms = match simulator.try_worker_call(&worker, &call, arrived_ms) {
+            CallProgress::Reply(reply) => {
                 if !matches!(call, WorkerCall::Renew { .. }) {
-                    world.changed.notify_waiters();
+                    simulator.changed.notify_waiters();
                 }
                 return Json(reply).into_response();
             }
-            Step::NoSuchWorker => return (StatusCode::NOT_FOUND, "no such worker").into_response(),
-            Step::Never => pending().await,
-            Step::Wait(wait_ms) => wait_ms,
+            CallProgress::NoSuchWorker => {
+                return (StatusCode::NOT_FOUND, "no such worker").into_response();
+            }
+            CallProgress::NeverReply => pending().await,
+            CallProgress::Wait(wait_ms) => wait_ms,
         };
         tokio::select! {
             () = tokio::time::sleep(Duration::from_millis(wait_ms)) => {}
@@ -379,138 +383,140 @@
     }
 }
 
-/// What to do with a call to a worker now.
-enum Step {
-    Answer(WorkerReply),
+/// How to proceed with a call to a worker.
+enum CallProgress {
+    Reply(WorkerReply),
+    /// Try again after this many milliseconds or when something changes.
     Wait(u64),
-    Never,
+    NeverReply,
     NoSuchWorker,
 }
 
-impl World {
-    fn step(&self, worker: &str, call: &WorkerCall, arrived_ms: u64) -> Step {
+impl Simulator {
+    fn try_worker_call(&self, worker: &str, call: &WorkerCall, arrived_ms: u64) -> CallProgress {
         let now_ms = self.now_ms();
         let id = WorkerId::new(worker);
-        let mut inner = self.lock();
-        if inner.faults.dead_workers.iter().any(|dead| dead == worker) {
-            return Step::Never;
+        let mut state = self.lock();
+        if state.faults.dead_workers.iter().any(|dead| dead == worker) {
+            return CallProgress::NeverReply;
         }
-        let fails = inner.faults.failing_workers.iter().any(|failing| failing == worker);
-        let minions = inner.minions_on(&id);
-        let Some(found) = inner.workers.get_mut(&id) else {
-            return Step::NoSuchWorker;
+        let fail_all_tasks = state.faults.failing_workers.iter().any(|failing| failing == worker);
+        let minions = state.minions_on(&id);
+        let Some(found) = state.workers.get_mut(&id) else {
+            return CallProgress::NoSuchWorker;
         };
-        let reply = found.call(now_ms, arrived_ms, call, &minions, fails);
+        let reply = found.call(now_ms, arrived_ms, call, &minions, fail_all_tasks);
         let WorkerCall::Renew { wait_ms, since, .. } = call else {
-            return Step::Answer(reply);
+            return CallProgress::Reply(reply);
         };
         let renewed = matches!(reply, WorkerReply::Renewed { .. });
         let end_ms = arrived_ms + wait_ms;
         if !renewed || now_ms >= end_ms || found.has_changes_since(*since) {
-            return Step::Answer(reply);
+            return CallProgress::Reply(reply);
         }
-        let look_ms = end_ms.min(now_ms + LOOK_AGAIN_MS);
-        let next_ms = found.next_change_ms().unwrap_or(look_ms).min(look_ms);
-        Step::Wait(next_ms.saturating_sub(now_ms).max(1))
+        let recheck_ms = end_ms.min(now_ms + RECHECK_INTERVAL_MS);
+        let next_ms = found.next_change_ms().unwrap_or(recheck_ms).min(recheck_ms);
+        CallProgress::Wait(next_ms.saturating_sub(now_ms).max(1))
     }
 }
 
 async fn foreign(
-    State(world): State<Arc<World>>,
+    State(simulator): State<Arc<Simulator>>,
     Path(worker): Path<String>,
     Json(foreign): Json<Resources>,
 ) -> StatusCode {
-    let mut inner = world.lock();
-    let Some(found) = inner.workers.get_mut(&WorkerId::new(worker)) else {
+    let mut state = simulator.lock();
+    let Some(found) = state.workers.get_mut(&WorkerId::new(worker)) else {
         return StatusCode::NOT_FOUND;
     };
     found.set_foreign(foreign);
     StatusCode::NO_CONTENT
 }
 
-/// What a pretended request does; its body.
+/// What a simulated request does, parsed from its body.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-struct Pretence {
+struct RequestScript {
     work_ms: u64,
     fail: Option<String>,
     answer_bytes: usize,
 }
 
 async fn request(
-    State(world): State<Arc<World>>,
+    State(simulator): State<Arc<Simulator>>,
     ConnectInfo(from): ConnectInfo<SocketAddr>,
     Path(minion): Path<String>,
     headers: HeaderMap,
     body: String,
 ) -> Response {
-    world.hear(from).await;
+    simulator.track_connection(from).await;
     let Some(attempt) = attempt_of(&headers) else {
         return (StatusCode::BAD_REQUEST, "no attempt id").into_response();
     };
     let id = MinionId::new(minion);
     let admission = {
-        let mut inner = world.lock();
-        match inner.minions.get_mut(&id) {
+        let mut state = simulator.lock();
+        match state.minions.get_mut(&id) {
             Some(minion) => minion.begin(attempt),
             None => return (StatusCode::NOT_FOUND, "no such minion").into_response(),
         }
     };
     match admission {
-        Admission::Begun => {}
-        Admission::Busy => return marked(attempt, "busy", String::new()),
-        Admission::Sealed => return marked(attempt, "never-started", String::new()),
-        Admission::Seen(progress) => return told(attempt, progress),
+        Admission::Admitted => {}
+        Admission::Busy => return reply_with_kind(attempt, "busy", String::new()),
+        Admission::Sealed => return reply_with_kind(attempt, "never-started", String::new()),
+        Admission::Duplicate(progress) => return progress_reply(attempt, progress),
     }
-    // The work goes on when the caller hangs up, as on a real back end.
-    let worked = tokio::spawn(async move {
-        let pretence: Pretence = serde_json::from_str(&body).unwrap_or_default();
-        tokio::time::sleep(Duration::from_millis(pretence.work_ms)).await;
+    // A task of its own, so that the work continues when the caller disconnects, as on a
+    // real back end.
+    let work = tokio::spawn(async move {
+        let script: RequestScript = serde_json::from_str(&body).unwrap_or_default();
+        tokio::time::sleep(Duration::from_millis(script.work_ms)).await;
         let mut answer = format!("answer to {body}");
-        while answer.len() < pretence.answer_bytes {
+        while answer.len() < script.answer_bytes {
             answer.push_str(&body);
         }
-        if let Some(minion) = world.lock().minions.get_mut(&id) {
+        if let Some(minion) = simulator.lock().minions.get_mut(&id) {
             minion.finish(attempt, answer.clone());
         }
-        (pretence.fail, answer)
+        (script.fail, answer)
     });
-    match worked.await {
-        Ok((None, answer)) => plain(attempt, answer),
-        Ok((Some(reason), _)) => marked(attempt, "failed", reason),
+    match work.await {
+        Ok((None, answer)) => answer_reply(attempt, answer),
+        Ok((Some(reason), _)) => reply_with_kind(attempt, "failed", reason),
         Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()).into_response(),
     }
 }
 
 async fn seal(
-    State(world): State<Arc<World>>,
+    State(simulator): State<Arc<Simulator>>,
     Path(minion): Path<String>,
     headers: HeaderMap,
 ) -> Response {
     let Some(attempt) = attempt_of(&headers) else {
         return (StatusCode::BAD_REQUEST, "no attempt id").into_response();
     };
-    let mut inner = world.lock();
-    match inner.minions.get_mut(&MinionId::new(minion)) {
-        Some(minion) => told(attempt, minion.seal(attempt)),
+    let mut state = simulator.lock();
+    match state.minions.get_mut(&MinionId::new(minion)) {
+        Some(minion) => progress_reply(attempt, minion.seal(attempt)),
         None => (StatusCode::NOT_FOUND, "no such minion").into_response(),
     }
 }
 
-fn told(attempt: AttemptId, progress: Progress) -> Response {
+fn progress_reply(attempt: AttemptId, progress: Progress) -> Response {
     match progress {
-        Progress::Running => marked(attempt, "running", String::new()),
-        Progress::Sealed => marked(attempt, "never-started", String::new()),
-        Progress::Answered(answer) => plain(attempt, answer),
+        Progress::Running => reply_with_kind(attempt, "running", String::new()),
+        Progress::Sealed => reply_with_kind(attempt, "never-started", String::new()),
+        Progress::Answered(answer) => answer_reply(attempt, answer),
     }
 }
 
-fn plain(attempt: AttemptId, body: String) -> Response {
+fn answer_reply(attempt: AttemptId, body: String) -> Response {
     ([(ATTEMPT_HEADER, attempt.to_string())], body).into_response()
 }
 
-fn marked(attempt: AttemptId, reply: &'static str, body: String) -> Response {
-    let headers = [(ATTEMPT_HEADER, attempt.to_string()), (REPLY_HEADER, reply.to_owned())];
+fn reply_with_kind(attempt: AttemptId, kind: &'static str, body: String) -> Response {
+    let headers = [(ATTEMPT_HEADER, attempt.to_string()), (REPLY_HEADER, kind.to_owned())];
     (headers, body).into_response()
 }
 
@@ -518,23 +524,26 @@
     headers.get(ATTEMPT_HEADER)?.to_str().ok()?.parse().ok()
 }
 
-async fn set_faults(State(world): State<Arc<World>>, Json(faults): Json<Faults>) -> StatusCode {
-    world.set_faults(faults);
+async fn set_faults(
+    State(simulator): State<Arc<Simulator>>,
+    Json(faults): Json<Faults>,
+) -> StatusCode {
+    simulator.set_faults(faults);
     StatusCode::NO_CONTENT
 }
 
-async fn get_faults(State(world): State<Arc<World>>) -> Json<Faults> {
-    Json(world.lock().faults.clone())
+async fn get_faults(State(simulator): State<Arc<Simulator>>) -> Json<Faults> {
+    Json(simulator.lock().faults.clone())
 }
 
 async fn set_instance(
-    State(world): State<Arc<World>>,
+    State(simulator): State<Arc<Simulator>>,
     Json(instance): Json<Instance>,
 ) -> StatusCode {
-    world.set_instance(instance);
+    simulator.set_instance(instance);
     StatusCode::NO_CONTENT
 }
 
-async fn record(State(world): State<Arc<World>>) -> Json<Record> {
-    Json(world.lock().record())
+async fn record(State(simulator): State<Arc<Simulator>>) -> Json<Record> {
+    Json(simulator.lock().record())
 }
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -1,4 +1,4 @@
-//! The table and the object store in memory.
+//! The in-memory table and object store.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -9,10 +9,10 @@
 use stoatwell_platform::StoreReply;
 use stoatwell_platform::Transaction;
 
-/// Rows in one scan at most, whatever is asked.
+/// Upper bound on the rows of one scan, regardless of the limit in the call.
 const SCAN_ROWS_MAX: usize = 1_000;
 
-/// Rows with versions, and objects.
+/// A table of versioned rows, and an object store.
 #[derive(Debug, Default)]
 pub struct Store {
     rows: BTreeMap<String, (u64, String)>,
@@ -21,25 +21,25 @@
     counts: StoreCounts,
 }
 
-/// How often the store was called.
+/// Statistics of the calls to the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct StoreCounts {
     /// Transactions that took effect.
     pub commits: u64,
-    /// Transactions that met a conflict.
+    /// Transactions without effect because a check failed.
     pub conflicts: u64,
-    /// Rows written or removed.
+    /// Rows written or removed by committed transactions.
     pub rows_written: u64,
-    /// Reads and scans.
+    /// Reads and scans of the table.
     pub reads: u64,
     /// Calls to the object store.
     pub objects: u64,
-    /// Rows kept now.
+    /// Rows that the table has now.
     pub rows: u64,
 }
 
 impl Store {
-    /// Carries out a call; instances are listed elsewhere.
+    /// Executes a call. The instance list is not kept here; asking for it returns an empty one.
     pub fn call(&mut self, call: StoreCall) -> StoreReply {
         match call {
             StoreCall::Transact(transaction) => self.transact(transaction),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// How often it was called.
+    /// Statistics since the start.
     pub fn counts(&self) -> StoreCounts {
         StoreCounts { rows: self.rows.len() as u64, ..self.counts }
     }
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -1,4 +1,4 @@
-//! One pretended worker: a lease, a fence, and tasks that end by themselves.
+//! A simulated worker: a lease with a fencing token, and tasks that end by themselves.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -19,7 +19,7 @@
 use stoatwell_platform::WorkerCall;
 use stoatwell_platform::WorkerReply;
 
-/// One worker. Every method takes the time, so nothing here waits.
+/// A simulated worker. The caller passes the current time, so no method sleeps or blocks.
 #[derive(Debug)]
 pub struct Worker {
     id: WorkerId,
@@ -31,8 +31,9 @@
     token: Token,
     lease_until_ms: u64,
     tasks: BTreeMap<AttemptId, Task>,
-    /// Attempts refused under the present token. A delayed copy of a refused
-    /// start would otherwise run after its holder was told that it never will.
+    /// Attempts refused under the current token. Without this set, a delayed
+    /// duplicate of a refused start could run after the holder was told that
+    /// the attempt would never start.
     refused: HashSet<AttemptId>,
     seq: u64,
     starts: u64,
@@ -46,15 +47,15 @@
     changed_seq: u64,
     started_ms: u64,
     ends_ms: u64,
-    ending: TaskState,
+    end_state: TaskState,
     usage: Resources,
     orphan_ms: Option<u64>,
 }
 
-/// What a pretended task does; the payload of a start.
+/// What a simulated task does, parsed from the payload of its start.
 #[derive(Debug, Deserialize)]
 #[serde(default)]
-struct Pretence {
+struct TaskScript {
     run_ms: u64,
     forever: bool,
     fail: Option<String>,
@@ -62,14 +63,14 @@
     answer: String,
 }
 
-impl Default for Pretence {
+impl Default for TaskScript {
     fn default() -> Self {
         Self { run_ms: 100, forever: false, fail: None, uses: None, answer: String::new() }
     }
 }
 
 impl Worker {
-    /// A worker that nobody holds.
+    /// Creates a worker without a lease.
     pub fn new(id: WorkerId, rack: String, capacity: Resources, usage_lag_ms: u64) -> Self {
         Self {
             id,
@@ -89,27 +90,28 @@
         }
     }
 
-    /// Lets it start more than it holds, so that a check can see whether its
-    /// holder would ever ask for that.
+    /// Disables the capacity check, so that a test can detect whether a lease
+    /// holder ever starts more than fits.
     pub fn allow_overcommit(mut self) -> Self {
         self.allow_overcommit = true;
         self
     }
 
-    /// Attempts that run now.
+    /// Reports of the running attempts.
     pub fn running(&self) -> impl Iterator<Item = &TaskReport> {
         let reports = self.tasks.values().map(|task| &task.report);
         reports.filter(|report| report.state.is_running())
     }
 
-    /// Carries out a call that arrived earlier or now; `minions` are those on this worker.
+    /// Executes a call that arrived at `arrived_ms`, now or earlier; `minions` are those on
+    /// this worker. With `fail_all_tasks`, every task that starts now fails.
     pub fn call(
         &mut self,
         now_ms: u64,
         arrived_ms: u64,
         call: &WorkerCall,
         minions: &[MinionState],
-        fails_everything: bool,
+        fail_all_tasks: bool,
     ) -> WorkerReply {
         self.advance(now_ms);
         match call {
@@ -118,17 +120,17 @@
             }
             WorkerCall::Renew { token, ttl_ms, since, acknowledged, .. } => {
                 if *token != self.token || self.holder.is_none() {
-                    return self.not_holder(now_ms);
+                    return self.not_holder_reply(now_ms);
                 }
                 self.lease_until_ms = self.lease_until_ms.max(arrived_ms + ttl_ms);
                 for attempt in acknowledged {
                     self.tasks.remove(attempt);
                 }
-                self.renewed(*since, minions)
+                self.renewal_reply(*since, minions)
             }
             WorkerCall::Release { token } => {
                 if *token != self.token {
-                    return self.not_holder(now_ms);
+                    return self.not_holder_reply(now_ms);
                 }
                 self.holder = None;
                 self.lease_until_ms = now_ms;
@@ -136,17 +138,17 @@
             }
             WorkerCall::Start { token, tasks } => {
                 if *token != self.token {
-                    return self.not_holder(now_ms);
+                    return self.not_holder_reply(now_ms);
                 }
                 let mut replies = Vec::new();
                 for task in tasks {
-                    replies.push(self.start(now_ms, task, fails_everything));
+                    replies.push(self.start(now_ms, task, fail_all_tasks));
                 }
                 WorkerReply::Started { replies }
             }
             WorkerCall::Stop { token, attempts, mode } => {
                 if *token != self.token {
-                    return self.not_holder(now_ms);
+                    return self.not_holder_reply(now_ms);
                 }
                 for attempt in attempts {
                     self.stop(*attempt, *mode);
@@ -156,16 +158,16 @@
         }
     }
 
-    /// Ends what is due.
+    /// Applies what is due by now: ends of tasks, stops of orphaned tasks, usage reports.
     pub fn advance(&mut self, now_ms: u64) {
-        let unheld_ms = now_ms.saturating_sub(self.lease_until_ms);
+        let without_lease_ms = now_ms.saturating_sub(self.lease_until_ms);
         for task in self.tasks.values_mut() {
             if !task.report.state.is_running() {
                 continue;
             }
-            let orphaned = task.orphan_ms.is_some_and(|limit| unheld_ms > limit);
+            let orphaned = task.orphan_ms.is_some_and(|limit_ms| without_lease_ms > limit_ms);
             if now_ms >= task.ends_ms {
-                task.report.state = task.ending.clone();
+                task.report.state = task.end_state.clone();
             } else if orphaned {
                 task.report.state = TaskState::Stopped { checkpointed: false };
             } else if now_ms >= task.started_ms + self.usage_lag_ms
@@ -180,23 +182,23 @@
         }
     }
 
-    /// Whether something changed after `since`.
+    /// Whether anything changed after this sequence number.
     pub fn has_changes_since(&self, since: u64) -> bool {
         self.seq > since
     }
 
-    /// When something will change by itself.
+    /// When the next task ends by itself; `None` if nothing runs.
     pub fn next_change_ms(&self) -> Option<u64> {
         let running = self.tasks.values().filter(|task| task.report.state.is_running());
         running.map(|task| task.ends_ms).min()
     }
 
-    /// Starts that took effect, and the most that ran at once.
-    pub fn record(&self) -> (u64, Resources) {
+    /// Returns the number of started tasks and the peak of the resources they demanded at once.
+    pub fn stats(&self) -> (u64, Resources) {
         (self.starts, self.peak)
     }
 
-    /// Sets what something else uses.
+    /// Sets the resources that processes outside this system use on the worker.
     pub fn set_foreign(&mut self, foreign: Resources) {
         self.foreign = foreign;
         self.seq += 1;
@@ -213,7 +215,7 @@
         let held = self.holder.is_some() && now_ms < self.lease_until_ms;
         let held_by_other = held && self.holder.as_ref() != Some(holder);
         if held_by_other || token <= self.token {
-            return self.not_holder(now_ms);
+            return self.not_holder_reply(now_ms);
         }
         self.holder = Some(holder.clone());
         self.token = token;
@@ -231,7 +233,7 @@
         WorkerReply::Granted { state, seq: self.seq }
     }
 
-    fn renewed(&self, since: u64, minions: &[MinionState]) -> WorkerReply {
+    fn renewal_reply(&self, since: u64, minions: &[MinionState]) -> WorkerReply {
         let mut changes = Vec::new();
         for task in self.tasks.values() {
             if task.changed_seq > since {
@@ -246,7 +248,7 @@
         }
     }
 
-    fn not_holder(&self, now_ms: u64) -> WorkerReply {
+    fn not_holder_reply(&self, now_ms: u64) -> WorkerReply {
         WorkerReply::NotHolder {
             holder: self.holder.clone(),
             token: self.token,
@@ -254,7 +256,7 @@
         }
     }
 
-    fn start(&mut self, now_ms: u64, task: &StartTask, fails_everything: bool) -> StartReply {
+    fn start(&mut self, now_ms: u64, task: &StartTask, fail_all_tasks: bool) -> StartReply {
         if self.tasks.contains_key(&task.attempt) {
             return StartReply::Started;
         }
@@ -272,19 +274,18 @@
             self.refused.insert(task.attempt);
             return StartReply::Refused { reason: reason.to_owned() };
         }
-        self.admit(now_ms, task, fails_everything);
+        self.run_task(now_ms, task, fail_all_tasks);
         StartReply::Started
     }
 
-    fn admit(&mut self, now_ms: u64, task: &StartTask, fails_everything: bool) {
-        let pretence: Pretence = serde_json::from_str(&task.payload).unwrap_or_default();
-        let failure = pretence.fail.or(fails_everything.then(|| "worker fault".to_owned()));
-        let run_ms = if fails_everything { 1 } else { pretence.run_ms };
-        let ends_ms =
-            if pretence.forever && failure.is_none() { u64::MAX } else { now_ms + run_ms };
-        let ending = match failure {
+    fn run_task(&mut self, now_ms: u64, task: &StartTask, fail_all_tasks: bool) {
+        let script: TaskScript = serde_json::from_str(&task.payload).unwrap_or_default();
+        let failure = script.fail.or(fail_all_tasks.then(|| "worker fault".to_owned()));
+        let run_ms = if fail_all_tasks { 1 } else { script.run_ms };
+        let ends_ms = if script.forever && failure.is_none() { u64::MAX } else { now_ms + run_ms };
+        let end_state = match failure {
             Some(reason) => TaskState::Failed { reason },
-            None => TaskState::Done { answer: pretence.answer },
+            None => TaskState::Done { answer: script.answer },
         };
         let report = TaskReport {
             attempt: task.attempt,
@@ -300,8 +301,8 @@
             changed_seq: self.seq,
             started_ms: now_ms,
             ends_ms,
-            ending,
-            usage: pretence.uses.unwrap_or(task.demand),
+            end_state,
+            usage: script.uses.unwrap_or(task.demand),
             orphan_ms: task.orphan_ms,
         };
         self.tasks.insert(task.report.attempt, task);
@@ -311,7 +312,7 @@
 
     fn stop(&mut self, attempt: AttemptId, mode: StopMode) {
         let Some(task) = self.tasks.get_mut(&attempt) else {
-            // Its start may still be on the way.
+            // The start of this attempt may still arrive; refuse it then.
             self.refused.insert(attempt);
             return;
         };
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -724,7 +724,7 @@
         }
         let reply = match call {
             MinionCall::Ask { attempt, body, .. } => match found.begin(attempt) {
-                Admission::Begun => {
+                Admission::Admitted => {
                     self.checker.on_request(attempt, found.state.busy, found.state.slots);
                     let work_ms = self.rng.random_range(5..400);
                     let answer = format!("answer to {body}");
@@ -741,7 +741,7 @@
                 }
                 Admission::Busy => MinionReply::Busy,
                 Admission::Sealed => MinionReply::NeverStarted,
-                Admission::Seen(progress) => told(progress),
+                Admission::Duplicate(progress) => told(progress),
             },
             MinionCall::Seal { attempt } => told(found.seal(attempt)),
         };
