--- a/crates/world/src/checker.rs
+++ b/crates/world/src/checker.rs
@@ -1,4 +1,4 @@
-//! The promises that must hold at every moment, checked from outside.
+//! Invariants that must hold at every moment, checked from outside the engines.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -14,17 +14,17 @@
 use stoatwell_model::worker::TaskReport;
 use stoatwell_standin::worker::Worker;
 
-/// What was seen, and what must never be.
+/// Records what happens in the simulation and panics when an invariant is violated.
 #[derive(Default)]
 pub struct Checker {
-    /// Entries of work that runs at most once.
+    /// Number of starts, by job and index of the task.
     starts: BTreeMap<(JobId, u32), u32>,
     requests: BTreeMap<JobId, u32>,
     not_run: HashSet<JobId>,
-    /// Expected markers of answers by ticket.
+    /// Text that the answer to a ticket must contain.
     markers: HashMap<u64, String>,
-    /// Workers on which nothing may start any more, from a time on.
-    closed: HashMap<WorkerId, u64>,
+    /// Workers on which nothing may start from this time on.
+    no_starts_from_ms: HashMap<WorkerId, u64>,
     pub capacity: Option<Resources>,
     pub starts_seen: u64,
     pub requests_seen: u64,
@@ -32,18 +32,18 @@
 }
 
 impl Checker {
-    /// The answer to this ticket must be to this marker.
+    /// Requires that the answer to this ticket contains this text.
     pub fn expect_marker(&mut self, ticket: u64, marker: &str) {
         self.markers.insert(ticket, marker.to_owned());
     }
 
-    /// Nothing may start on this worker after this time.
+    /// Requires that nothing starts on this worker from this time on.
     pub fn forbid_starts(&mut self, worker: &WorkerId, from_ms: u64) {
-        self.closed.insert(worker.clone(), from_ms);
+        self.no_starts_from_ms.insert(worker.clone(), from_ms);
     }
 
     pub fn allow_starts(&mut self, worker: &WorkerId) {
-        self.closed.remove(worker);
+        self.no_starts_from_ms.remove(worker);
     }
 
     pub fn on_start(
@@ -63,21 +63,21 @@
             assert_eq!(*starts, 1, "a task that runs at most once was started twice: {attempt:?}");
         }
         if matches!(report.entry.as_str(), "route" | "packet" | "solo") {
-            let places = running_places(attempt, workers, dead);
+            let running_on = running_on(attempt, workers, dead);
             assert!(
-                places.len() <= 1,
-                "an exclusive task runs in two places: {attempt:?} on {places:?}"
+                running_on.len() <= 1,
+                "an exclusive task runs on two workers: {attempt:?} on {running_on:?}"
             );
         }
         assert!(
             !self.not_run.contains(&attempt.job),
-            "a job told as not run was started: {attempt:?}"
+            "a job reported as not run was started: {attempt:?}"
         );
-        if let Some(from_ms) = self.closed.get(worker) {
-            assert!(now_ms < *from_ms, "work started on {worker}, which was leaving");
+        if let Some(from_ms) = self.no_starts_from_ms.get(worker) {
+            assert!(now_ms < *from_ms, "a task started on {worker}, which must get no more starts");
         }
         if let (Some(capacity), Some(found)) = (self.capacity, workers.get(worker)) {
-            check_room(worker, found, &capacity);
+            check_capacity(worker, found, &capacity);
         }
     }
 
@@ -87,11 +87,11 @@
         *self.requests.entry(attempt.job).or_default() += 1;
         assert!(
             !self.not_run.contains(&attempt.job),
-            "a request told as not run was begun: {attempt:?}"
+            "a request reported as not run was started: {attempt:?}"
         );
     }
 
-    /// Bookings run at most once, whatever happened to their callers.
+    /// Checks that bookings ran at most once, whatever happened to their callers.
     pub fn check_at_most_once(&self, bookings: &HashSet<JobId>) {
         for (job, count) in &self.requests {
             if bookings.contains(job) {
@@ -107,7 +107,10 @@
                 Some(Outcome::Unknown { .. }) => self.unknown_seen += 1,
                 Some(Outcome::Done { answer }) => {
                     if let Some(marker) = self.markers.get(&ticket) {
-                        assert!(answer.contains(marker.as_str()), "a caller got another's answer");
+                        assert!(
+                            answer.contains(marker.as_str()),
+                            "a caller got the answer to another caller's job"
+                        );
                     }
                 }
                 Some(Outcome::Failed { .. }) | None => {}
@@ -119,18 +122,18 @@
         }
     }
 
-    /// A durable outcome says that a job did not run.
+    /// Checks and records a durable outcome or an answer that says that a job did not run.
     pub fn on_not_run(&mut self, job: JobId) {
         self.not_run.insert(job);
         let tasks = self.starts.range((job, 0)..=(job, u32::MAX)).next();
-        assert!(tasks.is_none(), "a job that was started is told as not run: {job:?}");
+        assert!(tasks.is_none(), "a job that was started is reported as not run: {job:?}");
         assert!(
             !self.requests.contains_key(&job),
-            "a request that was begun is told as not run: {job:?}"
+            "a request that was started is reported as not run: {job:?}"
         );
     }
 
-    /// Ends what is due on every worker and looks at the whole cell.
+    /// Advances every live worker to this time and checks that its tasks fit its capacity.
     pub fn check_workers(
         &mut self,
         now_ms: u64,
@@ -143,7 +146,7 @@
             }
             worker.advance(now_ms);
             if let Some(capacity) = self.capacity {
-                check_room(id, worker, &capacity);
+                check_capacity(id, worker, &capacity);
             }
         }
     }
@@ -157,25 +160,25 @@
     }
 }
 
-fn running_places(
+fn running_on(
     attempt: AttemptId,
     workers: &BTreeMap<WorkerId, Worker>,
     dead: &HashSet<WorkerId>,
 ) -> Vec<WorkerId> {
-    let mut places = Vec::new();
+    let mut running_on = Vec::new();
     for (id, worker) in workers {
         if dead.contains(id) {
             continue;
         }
-        let here = worker
+        let matching = worker
             .running()
             .filter(|other| other.attempt.job == attempt.job && other.attempt.task == attempt.task);
-        places.extend(here.map(|_| id.clone()));
+        running_on.extend(matching.map(|_| id.clone()));
     }
-    places
+    running_on
 }
 
-fn check_room(id: &WorkerId, worker: &Worker, capacity: &Resources) {
+fn check_capacity(id: &WorkerId, worker: &Worker, capacity: &Resources) {
     let mut sum = Resources::ZERO;
     for report in worker.running() {
         sum = sum.plus(&report.demand);
@@ -184,5 +187,5 @@
         .running()
         .map(|report| (&report.entry, report.attempt, &report.coordinator))
         .collect();
-    assert!(capacity.holds(&sum), "{id} was given {sum:?} of {capacity:?}: {tasks:?}");
+    assert!(capacity.holds(&sum), "tasks on {id} demand {sum:?} of {capacity:?}: {tasks:?}");
 }
--- a/crates/world/src/layout.rs
+++ b/crates/world/src/layout.rs
@@ -1,4 +1,4 @@
-//! A cell for tests: daemons, workers, minions, and a catalogue.
+//! The simulated cell: daemons, workers, minions, and a catalogue.
 
 use stoatwell_catalogue::Item;
 use stoatwell_catalogue::document;
@@ -27,12 +27,12 @@
 pub const GIB: u64 = 1 << 30;
 
 pub struct Layout {
-    /// Name, zone and region of each daemon, zone by zone.
+    /// Name, zone and region of each daemon, grouped by zone.
     pub daemons: Vec<(String, String, String)>,
     pub workers_per_zone: u32,
     pub capacity: Resources,
-    /// Whether times are short, for tests, or those of the default settings.
-    pub quick: bool,
+    /// Uses short intervals and timeouts, for tests, instead of those of the example settings.
+    pub short_timeouts: bool,
 }
 
 impl Default for Layout {
@@ -41,7 +41,7 @@
             daemons: daemons(&[("zone-a", 3), ("zone-b", 1)], "region"),
             workers_per_zone: 4,
             capacity: Resources { cpu_millis: 8_000, memory_bytes: 32 * GIB, accelerators: 2 },
-            quick: true,
+            short_timeouts: true,
         }
     }
 }
@@ -67,7 +67,7 @@
     "minions": "sahay", "limits": { "deadline_ms": 2000 } }
 ] }"#;
 
-/// Daemons named d0, d1, ... in these zones of one region.
+/// Name, zone and region of daemons named d0, d1, ... in these zones of one region.
 pub fn daemons(zones: &[(&str, usize)], region: &str) -> Vec<(String, String, String)> {
     let mut all = Vec::new();
     for (zone, count) in zones {
@@ -79,7 +79,7 @@
 }
 
 impl Layout {
-    /// A cell of the target's shape: nine zones in four regions.
+    /// A cell with the topology of the target: nine zones in four regions.
     pub fn nine_zones(daemons_per_zone: usize, workers_per_zone: u32) -> Self {
         let mut all = Vec::new();
         for zone in 0..9 {
@@ -88,7 +88,7 @@
                 all.push((format!("d{}", all.len()), format!("zone-{zone}"), region));
             }
         }
-        Self { daemons: all, workers_per_zone, quick: false, ..Self::default() }
+        Self { daemons: all, workers_per_zone, short_timeouts: false, ..Self::default() }
     }
 
     pub fn zones(&self) -> Vec<String> {
@@ -119,7 +119,7 @@
         let mut settings = stoatwell_settings::example(name);
         settings.daemon.zone = ZoneName::new(zone);
         settings.daemon.region = RegionName::new(region);
-        if !self.quick {
+        if !self.short_timeouts {
             return settings;
         }
         settings.leases.ttl_ms = 2_000;
@@ -155,7 +155,7 @@
         instances
     }
 
-    pub fn fill(&self, world: &mut World) {
+    pub fn populate(&self, world: &mut World) {
         for zone in self.zones() {
             for id in self.worker_ids(&zone) {
                 let worker = Worker::new(id.clone(), format!("{zone}-rack"), self.capacity, 1_000)
@@ -195,7 +195,7 @@
     }
 }
 
-/// Writes an item straight into the table.
+/// Writes an item directly into the table, without a daemon.
 fn apply(world: &mut World, key: &str, edit: EditKind) {
     let request = EditRequest {
         key: key.to_owned(),
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -1,8 +1,8 @@
-//! Engines with fakes at their edges, in virtual time.
+//! Deterministic simulation of a cell of engines in virtual time.
 //!
-//! Every call takes a random short time there and back and may be cut, lost or
-//! left unanswered; daemons crash, pause and come back. One seed gives one
-//! schedule. The fakes of table, workers and minions are the stand-in's.
+//! Every call takes a short random time in each direction and may be cut off, lost
+//! or left unanswered; daemons crash, pause and restart. A seed determines the
+//! whole schedule. Table, workers and minions are the simulated ones of the stand-in.
 #![allow(missing_docs, reason = "scaffolding of tests and measurements, not an interface")]
 #![allow(missing_debug_implementations, reason = "never shown")]
 
@@ -60,7 +60,7 @@
 pub const TICK_MS: u64 = 100;
 const CALL_TIMEOUT_MS: u64 = 500;
 const DELAY_MS_MAX: u64 = 8;
-/// The platform replaces a daemon that stopped after this time.
+/// Time after which the platform restarts a daemon that has stopped.
 const RESPAWN_MS: u64 = 2_000;
 const START_MS: u64 = 1_000_000;
 
@@ -74,24 +74,25 @@
     pub nodes: Vec<Node>,
     pub answers: HashMap<u64, (u64, Answer)>,
     pub store_down: bool,
-    /// Chance in a thousand that a write takes effect and its answer is lost.
+    /// Probability, in thousandths, that a write takes effect and its reply is lost.
     pub lost_permille: u32,
-    /// Chance in a thousand that a message between daemons, or to a worker or minion, is lost.
+    /// Probability, in thousandths, that a message between daemons or to or from a worker or
+    /// minion is lost.
     pub drop_permille: u32,
     pub store_cut: HashSet<usize>,
     pub peer_cut: HashSet<(usize, usize)>,
     pub worker_cut: HashSet<(usize, WorkerId)>,
     pub dead_workers: HashSet<WorkerId>,
-    /// The worker whose calls are printed; the environment's TRACE names it.
-    traced: Option<String>,
+    /// Worker whose calls are printed, from the environment variable `TRACE`.
+    traced_worker: Option<String>,
     instances: Vec<Instance>,
-    minions_of: BTreeMap<WorkerId, Vec<MinionId>>,
-    zone_of: HashMap<WorkerId, String>,
-    queue: BTreeMap<(u64, u64), Delivery>,
+    minions_by_worker: BTreeMap<WorkerId, Vec<MinionId>>,
+    zone_by_worker: HashMap<WorkerId, String>,
+    queue: BTreeMap<(u64, u64), SimEvent>,
     next_seq: u64,
     next_ticket: u64,
-    parked: Vec<Parked>,
-    waiting: HashSet<(usize, u64, OpId, Kind)>,
+    pending_renewals: Vec<PendingRenewal>,
+    pending_calls: HashSet<(usize, u64, OpId, CallKind)>,
     peer_tickets: HashMap<(usize, u64, u64), (usize, u64, OpId)>,
 }
 
@@ -102,13 +103,14 @@
     pub paused_until_ms: u64,
     pub stopped: bool,
     pub counts: TrafficCounts,
-    /// Real time spent in the engine, for measurements only.
+    /// Real time spent in the engine, across restarts; for measurements only.
     pub engine_time: Duration,
     incarnation: u64,
     last_revision: u64,
 }
 
-struct Parked {
+/// A long-polled renewal that waits for a change on its worker.
+struct PendingRenewal {
     node: usize,
     incarnation: u64,
     op: OpId,
@@ -119,17 +121,17 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Kind {
+enum CallKind {
     Store,
     Worker,
     Minion,
     Peer,
 }
 
-enum Delivery {
+enum SimEvent {
     Tick(usize),
     Event(usize, u64, Event),
-    Timeout(usize, u64, OpId, Kind),
+    Timeout(usize, u64, OpId, CallKind),
     Store(usize, u64, OpId, StoreCall),
     Worker(usize, u64, OpId, WorkerId, WorkerCall),
     Minion(usize, u64, OpId, MinionId, MinionCall),
@@ -156,18 +158,18 @@
             peer_cut: HashSet::new(),
             worker_cut: HashSet::new(),
             dead_workers: HashSet::new(),
-            traced: std::env::var("TRACE").ok(),
+            traced_worker: std::env::var("TRACE").ok(),
             instances: layout.instances(),
-            minions_of: BTreeMap::new(),
-            zone_of: HashMap::new(),
+            minions_by_worker: BTreeMap::new(),
+            zone_by_worker: HashMap::new(),
             queue: BTreeMap::new(),
             next_seq: 0,
             next_ticket: 0,
-            parked: Vec::new(),
-            waiting: HashSet::new(),
+            pending_renewals: Vec::new(),
+            pending_calls: HashSet::new(),
             peer_tickets: HashMap::new(),
         };
-        layout.fill(&mut world);
+        layout.populate(&mut world);
         for index in 0..layout.daemons.len() {
             let identity = layout.identity(index, 1);
             let settings = layout.settings(index);
@@ -195,9 +197,9 @@
         minion: Option<MinionState>,
     ) {
         self.workers.insert(id.clone(), worker);
-        self.zone_of.insert(id.clone(), zone.to_owned());
+        self.zone_by_worker.insert(id.clone(), zone.to_owned());
         if let Some(state) = minion {
-            self.minions_of.entry(id.clone()).or_default().push(state.minion.clone());
+            self.minions_by_worker.entry(id.clone()).or_default().push(state.minion.clone());
             self.minions.insert(state.minion.clone(), Minion::new(state));
         }
     }
@@ -209,10 +211,10 @@
         node.stopped = false;
         node.last_revision = 0;
         node.engine = Some(Engine::new(node.identity.clone(), node.settings.clone(), self.now_ms));
-        self.push(self.now_ms, Delivery::Tick(index));
+        self.push(self.now_ms, SimEvent::Tick(index));
     }
 
-    // ---- what a test does to the world
+    // ---- control by tests
 
     pub fn run_ms(&mut self, ms: u64) {
         let end_ms = self.now_ms + ms;
@@ -238,7 +240,7 @@
     }
 
     pub fn restart_after(&mut self, index: usize, ms: u64) {
-        self.push(self.now_ms + ms, Delivery::Restart(index));
+        self.push(self.now_ms + ms, SimEvent::Restart(index));
     }
 
     pub fn pause(&mut self, index: usize, ms: u64) {
@@ -263,7 +265,8 @@
         self.worker_cut.clear();
     }
 
-    /// The instance fails: what ran there is gone, and the platform's list says so later.
+    /// Fails the instance: its tasks are lost, and daemons find out when they next read the
+    /// instance list.
     pub fn kill_worker(&mut self, worker: &WorkerId) {
         self.dead_workers.insert(worker.clone());
         self.instances.retain(|instance| instance.name != worker.as_str());
@@ -278,7 +281,7 @@
             body: body.to_owned(),
         };
         let key = key.to_owned();
-        self.ask(index, move |ticket| Event::Submit {
+        self.send_with_ticket(index, move |ticket| Event::Submit {
             ticket,
             caller: Caller::Operator,
             key,
@@ -288,11 +291,15 @@
     }
 
     pub fn cancel(&mut self, index: usize, job: stoatwell_model::JobId) -> u64 {
-        self.ask(index, move |ticket| Event::Cancel { ticket, caller: Caller::Operator, job })
+        self.send_with_ticket(index, move |ticket| Event::Cancel {
+            ticket,
+            caller: Caller::Operator,
+            job,
+        })
     }
 
     pub fn status(&mut self, index: usize, job: stoatwell_model::JobId) -> u64 {
-        self.ask(index, move |ticket| Event::Status {
+        self.send_with_ticket(index, move |ticket| Event::Status {
             ticket,
             caller: Caller::Operator,
             job,
@@ -302,7 +309,7 @@
 
     pub fn edit(&mut self, index: usize, key: &str, edit: EditKind, expected: Option<u64>) -> u64 {
         let key = key.to_owned();
-        self.ask(index, move |ticket| Event::Edit {
+        self.send_with_ticket(index, move |ticket| Event::Edit {
             ticket,
             key,
             edit,
@@ -311,7 +318,7 @@
         })
     }
 
-    pub fn ask(&mut self, index: usize, event: impl FnOnce(u64) -> Event) -> u64 {
+    pub fn send_with_ticket(&mut self, index: usize, event: impl FnOnce(u64) -> Event) -> u64 {
         self.next_ticket += 1;
         let ticket = self.next_ticket;
         self.inject(index, event(ticket));
@@ -338,7 +345,7 @@
         (0..self.nodes.len()).filter(matching).collect()
     }
 
-    /// Reads a row of the table, as an observer outside.
+    /// Reads a row of the table directly; empty if it does not exist.
     pub fn row(&mut self, key: &str) -> String {
         match self.store.call(StoreCall::Read { keys: vec![key.to_owned()] }) {
             StoreReply::Rows { rows } => {
@@ -365,45 +372,51 @@
         }
     }
 
-    // ---- how it goes on by itself
+    // ---- event loop
 
     fn step(&mut self) {
-        let Some(((at_ms, _), delivery)) = self.queue.pop_first() else {
+        let Some(((at_ms, _), event)) = self.queue.pop_first() else {
             return;
         };
         self.now_ms = self.now_ms.max(at_ms);
-        match delivery {
-            Delivery::Tick(node) => self.on_tick(node),
-            Delivery::Event(node, incarnation, event) => self.deliver(node, incarnation, event),
-            Delivery::Timeout(node, incarnation, op, kind) => {
+        match event {
+            SimEvent::Tick(node) => self.on_tick(node),
+            SimEvent::Event(node, incarnation, event) => self.deliver(node, incarnation, event),
+            SimEvent::Timeout(node, incarnation, op, kind) => {
                 self.time_out(node, incarnation, op, kind);
             }
-            Delivery::Store(node, incarnation, op, call) => {
-                self.at_store(node, incarnation, op, call);
+            SimEvent::Store(node, incarnation, op, call) => {
+                self.on_store_call(node, incarnation, op, call);
             }
-            Delivery::Worker(node, incarnation, op, worker, call) => {
-                self.at_worker(node, incarnation, op, worker, call);
+            SimEvent::Worker(node, incarnation, op, worker, call) => {
+                self.on_worker_call(node, incarnation, op, worker, call);
             }
-            Delivery::Minion(node, incarnation, op, minion, call) => {
-                self.at_minion(node, incarnation, op, &minion, call);
+            SimEvent::Minion(node, incarnation, op, minion, call) => {
+                self.on_minion_call(node, incarnation, op, &minion, call);
             }
-            Delivery::MinionDone(node, incarnation, op, minion, attempt, answer) => {
+            SimEvent::MinionDone(node, incarnation, op, minion, attempt, answer) => {
                 if let Some(found) = self.minions.get_mut(&minion) {
                     found.finish(attempt, answer.clone());
                 }
                 let reply = Ok(MinionReply::Answer { body: answer });
-                self.reply(node, incarnation, op, Kind::Minion, Event::MinionDone { op, reply });
+                self.reply(
+                    node,
+                    incarnation,
+                    op,
+                    CallKind::Minion,
+                    Event::MinionDone { op, reply },
+                );
             }
-            Delivery::Peer(node, incarnation, op, to, call) => {
-                self.at_peer(node, incarnation, op, to, *call);
+            SimEvent::Peer(node, incarnation, op, to, call) => {
+                self.on_peer_call(node, incarnation, op, to, *call);
             }
-            Delivery::Restart(node) => self.restart(node),
+            SimEvent::Restart(node) => self.restart(node),
         }
     }
 
-    fn push(&mut self, at_ms: u64, delivery: Delivery) {
+    fn push(&mut self, at_ms: u64, event: SimEvent) {
         self.next_seq += 1;
-        self.queue.insert((at_ms, self.next_seq), delivery);
+        self.queue.insert((at_ms, self.next_seq), event);
     }
 
     fn inject(&mut self, index: usize, event: Event) {
@@ -418,9 +431,9 @@
         }
         let paused_until_ms = self.nodes[index].paused_until_ms;
         let next_ms = (self.now_ms + TICK_MS).max(paused_until_ms);
-        self.push(next_ms, Delivery::Tick(index));
+        self.push(next_ms, SimEvent::Tick(index));
         if index == 0 || self.nodes[0].engine.is_none() {
-            self.look_at_parked();
+            self.complete_renewals();
             self.checker.check_workers(self.now_ms, &mut self.workers, &self.dead_workers);
         }
         if paused_until_ms <= self.now_ms {
@@ -435,27 +448,27 @@
         }
         if node.paused_until_ms > self.now_ms {
             let at_ms = node.paused_until_ms;
-            self.push(at_ms, Delivery::Event(index, incarnation, event));
+            self.push(at_ms, SimEvent::Event(index, incarnation, event));
             return;
         }
         let Some(engine) = node.engine.as_mut() else {
             return;
         };
-        let began = Instant::now();
+        let started = Instant::now();
         let effects = engine.handle(self.now_ms, event);
-        node.engine_time += began.elapsed();
+        node.engine_time += started.elapsed();
         let revision = engine.catalogue().revision();
         let stopped = engine.is_stopped();
         assert!(
             revision >= node.last_revision,
-            "the catalogue in force went back at daemon {index}"
+            "the catalogue revision of daemon {index} went backwards"
         );
         node.last_revision = revision;
         if stopped && !node.stopped {
             node.stopped = true;
         }
         for effect in effects {
-            self.carry_out(index, incarnation, effect);
+            self.apply_effect(index, incarnation, effect);
         }
         if self.nodes[index].stopped {
             self.crash(index);
@@ -463,25 +476,31 @@
         }
     }
 
-    fn carry_out(&mut self, node: usize, incarnation: u64, effect: Effect) {
-        let delay_ms = self.delay();
+    fn apply_effect(&mut self, node: usize, incarnation: u64, effect: Effect) {
+        let delay_ms = self.draw_delay_ms();
         let at_ms = self.now_ms + delay_ms;
         match effect {
             Effect::Store { op, call } => {
                 self.nodes[node].counts.store_call(&call);
-                self.expect(node, incarnation, op, Kind::Store, CALL_TIMEOUT_MS);
+                self.register_call(node, incarnation, op, CallKind::Store, CALL_TIMEOUT_MS);
                 if !self.store_cut.contains(&node) {
-                    self.push(at_ms, Delivery::Store(node, incarnation, op, call));
+                    self.push(at_ms, SimEvent::Store(node, incarnation, op, call));
                 }
             }
             Effect::Worker { op, worker, call, .. } => {
                 self.nodes[node].counts.worker_call(&call);
                 let wait_ms =
                     if let WorkerCall::Renew { wait_ms, .. } = &call { *wait_ms } else { 0 };
-                self.expect(node, incarnation, op, Kind::Worker, CALL_TIMEOUT_MS + wait_ms);
-                let reached = self.reaches_worker(node, &worker) && !self.dropped();
+                self.register_call(
+                    node,
+                    incarnation,
+                    op,
+                    CallKind::Worker,
+                    CALL_TIMEOUT_MS + wait_ms,
+                );
+                let reached = self.reaches_worker(node, &worker) && !self.draw_message_loss();
                 if reached {
-                    self.push(at_ms, Delivery::Worker(node, incarnation, op, worker, call));
+                    self.push(at_ms, SimEvent::Worker(node, incarnation, op, worker, call));
                 }
             }
             Effect::Minion { op, minion, call, .. } => {
@@ -489,25 +508,31 @@
                     MinionCall::Ask { deadline_ms, .. } => *deadline_ms,
                     MinionCall::Seal { .. } => CALL_TIMEOUT_MS,
                 };
-                self.expect(node, incarnation, op, Kind::Minion, limit_ms);
-                if !self.dropped() {
-                    self.push(at_ms, Delivery::Minion(node, incarnation, op, minion, call));
+                self.register_call(node, incarnation, op, CallKind::Minion, limit_ms);
+                if !self.draw_message_loss() {
+                    self.push(at_ms, SimEvent::Minion(node, incarnation, op, minion, call));
                 }
             }
             Effect::Peer { op, address, call, timeout_ms } => {
                 let to = self.nodes.iter().position(|other| other.identity.peer_address == address);
-                self.expect(node, incarnation, op, Kind::Peer, timeout_ms);
+                self.register_call(node, incarnation, op, CallKind::Peer, timeout_ms);
                 let Some(to) = to else {
                     return;
                 };
-                let far = self.is_far(node, to);
-                self.nodes[node].counts.peer_sent(&call, far);
+                let cross_region = self.is_cross_region(node, to);
+                self.nodes[node].counts.peer_sent(&call, cross_region);
                 let refused = self.nodes[to].engine.is_none();
                 if refused {
                     let reply = Err(CallError::NotSent("connection refused".to_owned()));
-                    self.reply(node, incarnation, op, Kind::Peer, Event::PeerDone { op, reply });
-                } else if !self.peer_cut.contains(&(node, to)) && !self.dropped() {
-                    self.push(at_ms, Delivery::Peer(node, incarnation, op, to, Box::new(call)));
+                    self.reply(
+                        node,
+                        incarnation,
+                        op,
+                        CallKind::Peer,
+                        Event::PeerDone { op, reply },
+                    );
+                } else if !self.peer_cut.contains(&(node, to)) && !self.draw_message_loss() {
+                    self.push(at_ms, SimEvent::Peer(node, incarnation, op, to, Box::new(call)));
                 }
             }
             Effect::Answer { ticket, answer } => self.on_answer(node, incarnation, ticket, answer),
@@ -523,36 +548,36 @@
                 Answer::Job(result) => PeerReply::Job(result),
                 Answer::Edited(_) | Answer::Store(_) => PeerReply::Noted,
             };
-            if self.peer_cut.contains(&(node, caller)) || self.dropped() {
+            if self.peer_cut.contains(&(node, caller)) || self.draw_message_loss() {
                 return;
             }
-            let far = self.is_far(node, caller);
-            self.nodes[node].counts.peer_sent(&reply, far);
+            let cross_region = self.is_cross_region(node, caller);
+            self.nodes[node].counts.peer_sent(&reply, cross_region);
             self.nodes[caller].counts.peer_received(&reply);
             let event = Event::PeerDone { op, reply: Ok(reply) };
-            self.reply(caller, caller_incarnation, op, Kind::Peer, event);
+            self.reply(caller, caller_incarnation, op, CallKind::Peer, event);
             return;
         }
         self.checker.on_answer(ticket, &answer);
         self.answers.insert(ticket, (self.now_ms, answer));
     }
 
-    fn listed(&self, zone: Option<&ZoneName>) -> Vec<Instance> {
+    fn list_instances(&self, zone: Option<&ZoneName>) -> Vec<Instance> {
         let wanted = |instance: &&Instance| {
             instance.kind == InstanceKind::Entry || zone.is_none_or(|zone| instance.zone == *zone)
         };
         self.instances.iter().filter(wanted).cloned().collect()
     }
 
-    fn is_far(&self, a: usize, b: usize) -> bool {
+    fn is_cross_region(&self, a: usize, b: usize) -> bool {
         self.nodes[a].identity.region != self.nodes[b].identity.region
     }
 
-    fn delay(&mut self) -> u64 {
+    fn draw_delay_ms(&mut self) -> u64 {
         self.rng.random_range(1..=DELAY_MS_MAX)
     }
 
-    fn dropped(&mut self) -> bool {
+    fn draw_message_loss(&mut self) -> bool {
         self.drop_permille > 0 && self.rng.random_range(0..1_000) < self.drop_permille
     }
 
@@ -560,43 +585,50 @@
         !self.dead_workers.contains(worker) && !self.worker_cut.contains(&(node, worker.clone()))
     }
 
-    fn expect(&mut self, node: usize, incarnation: u64, op: OpId, kind: Kind, limit_ms: u64) {
-        self.waiting.insert((node, incarnation, op, kind));
-        self.push(self.now_ms + limit_ms, Delivery::Timeout(node, incarnation, op, kind));
+    fn register_call(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        op: OpId,
+        kind: CallKind,
+        limit_ms: u64,
+    ) {
+        self.pending_calls.insert((node, incarnation, op, kind));
+        self.push(self.now_ms + limit_ms, SimEvent::Timeout(node, incarnation, op, kind));
     }
 
-    fn reply(&mut self, node: usize, incarnation: u64, op: OpId, kind: Kind, event: Event) {
-        self.nodes[node].counts.answer(&event);
-        if !self.waiting.remove(&(node, incarnation, op, kind)) {
+    fn reply(&mut self, node: usize, incarnation: u64, op: OpId, kind: CallKind, event: Event) {
+        self.nodes[node].counts.reply_received(&event);
+        if !self.pending_calls.remove(&(node, incarnation, op, kind)) {
             return;
         }
-        let at_ms = self.now_ms + self.delay();
-        self.push(at_ms, Delivery::Event(node, incarnation, event));
+        let at_ms = self.now_ms + self.draw_delay_ms();
+        self.push(at_ms, SimEvent::Event(node, incarnation, event));
     }
 
-    fn time_out(&mut self, node: usize, incarnation: u64, op: OpId, kind: Kind) {
-        if !self.waiting.remove(&(node, incarnation, op, kind)) {
+    fn time_out(&mut self, node: usize, incarnation: u64, op: OpId, kind: CallKind) {
+        if !self.pending_calls.remove(&(node, incarnation, op, kind)) {
             return;
         }
         let error = CallError::NoAnswer("timed out".to_owned());
         let event = match kind {
-            Kind::Store => Event::StoreDone { op, reply: Err(error) },
-            Kind::Worker => Event::WorkerDone { op, reply: Err(error) },
-            Kind::Minion => Event::MinionDone { op, reply: Err(error) },
-            Kind::Peer => Event::PeerDone { op, reply: Err(error) },
+            CallKind::Store => Event::StoreDone { op, reply: Err(error) },
+            CallKind::Worker => Event::WorkerDone { op, reply: Err(error) },
+            CallKind::Minion => Event::MinionDone { op, reply: Err(error) },
+            CallKind::Peer => Event::PeerDone { op, reply: Err(error) },
         };
         self.deliver(node, incarnation, event);
     }
 
-    fn at_store(&mut self, node: usize, incarnation: u64, op: OpId, call: StoreCall) {
+    fn on_store_call(&mut self, node: usize, incarnation: u64, op: OpId, call: StoreCall) {
         if self.store_down {
             let reply = Err(CallError::Refused("down".to_owned()));
-            self.reply(node, incarnation, op, Kind::Store, Event::StoreDone { op, reply });
+            self.reply(node, incarnation, op, CallKind::Store, Event::StoreDone { op, reply });
             return;
         }
         let reply = match call {
             StoreCall::Instances { zone } => {
-                StoreReply::Instances { instances: self.listed(zone.as_ref()) }
+                StoreReply::Instances { instances: self.list_instances(zone.as_ref()) }
             }
             call => {
                 let lost = call.is_write() && self.rng.random_range(0..1_000) < self.lost_permille;
@@ -607,10 +639,16 @@
                 reply
             }
         };
-        self.reply(node, incarnation, op, Kind::Store, Event::StoreDone { op, reply: Ok(reply) });
+        self.reply(
+            node,
+            incarnation,
+            op,
+            CallKind::Store,
+            Event::StoreDone { op, reply: Ok(reply) },
+        );
     }
 
-    fn at_worker(
+    fn on_worker_call(
         &mut self,
         node: usize,
         incarnation: u64,
@@ -622,11 +660,11 @@
             return;
         };
         if let WorkerCall::Renew { wait_ms, since, .. } = &call {
-            let quiet = matches!(reply, WorkerReply::Renewed { .. })
+            let unchanged = matches!(reply, WorkerReply::Renewed { .. })
                 && self.workers.get(&worker).is_some_and(|found| !found.has_changes_since(*since));
-            if quiet {
+            if unchanged {
                 let (arrived_ms, until_ms) = (self.now_ms, self.now_ms + wait_ms);
-                self.parked.push(Parked {
+                self.pending_renewals.push(PendingRenewal {
                     node,
                     incarnation,
                     op,
@@ -638,10 +676,16 @@
                 return;
             }
         }
-        if self.dropped() || !self.reaches_worker(node, &worker) {
+        if self.draw_message_loss() || !self.reaches_worker(node, &worker) {
             return;
         }
-        self.reply(node, incarnation, op, Kind::Worker, Event::WorkerDone { op, reply: Ok(reply) });
+        self.reply(
+            node,
+            incarnation,
+            op,
+            CallKind::Worker,
+            Event::WorkerDone { op, reply: Ok(reply) },
+        );
     }
 
     fn call_worker(
@@ -657,8 +701,8 @@
         let found = self.workers.get_mut(worker)?;
         let before: HashSet<_> = found.running().map(|report| report.attempt).collect();
         let reply = found.call(self.now_ms, arrived_ms, call, &minions, false);
-        if self.traced.as_deref() == Some(worker.as_str()) {
-            eprintln!("{} {worker} got {call:?} says {reply:?}", self.now_ms);
+        if self.traced_worker.as_deref() == Some(worker.as_str()) {
+            eprintln!("{} {worker} received {call:?}, replied {reply:?}", self.now_ms);
         }
         let after: Vec<_> = found.running().cloned().collect();
         for report in after {
@@ -676,36 +720,36 @@
     }
 
     fn minion_states(&self, worker: &WorkerId) -> Vec<MinionState> {
-        let ids = self.minions_of.get(worker).into_iter().flatten();
+        let ids = self.minions_by_worker.get(worker).into_iter().flatten();
         ids.filter_map(|id| self.minions.get(id)).map(|minion| minion.state.clone()).collect()
     }
 
-    fn look_at_parked(&mut self) {
+    fn complete_renewals(&mut self) {
         let now_ms = self.now_ms;
-        for parked in std::mem::take(&mut self.parked) {
-            let WorkerCall::Renew { since, .. } = &parked.call else {
+        for renewal in std::mem::take(&mut self.pending_renewals) {
+            let WorkerCall::Renew { since, .. } = &renewal.call else {
                 continue;
             };
-            if let Some(worker) = self.workers.get_mut(&parked.worker) {
+            if let Some(worker) = self.workers.get_mut(&renewal.worker) {
                 worker.advance(now_ms);
-                if now_ms < parked.until_ms && !worker.has_changes_since(*since) {
-                    self.parked.push(parked);
+                if now_ms < renewal.until_ms && !worker.has_changes_since(*since) {
+                    self.pending_renewals.push(renewal);
                     continue;
                 }
             }
-            let Some(reply) = self.call_worker(&parked.worker, parked.arrived_ms, &parked.call)
+            let Some(reply) = self.call_worker(&renewal.worker, renewal.arrived_ms, &renewal.call)
             else {
                 continue;
             };
-            if self.dropped() || !self.reaches_worker(parked.node, &parked.worker) {
+            if self.draw_message_loss() || !self.reaches_worker(renewal.node, &renewal.worker) {
                 continue;
             }
-            let event = Event::WorkerDone { op: parked.op, reply: Ok(reply) };
-            self.reply(parked.node, parked.incarnation, parked.op, Kind::Worker, event);
+            let event = Event::WorkerDone { op: renewal.op, reply: Ok(reply) };
+            self.reply(renewal.node, renewal.incarnation, renewal.op, CallKind::Worker, event);
         }
     }
 
-    fn at_minion(
+    fn on_minion_call(
         &mut self,
         node: usize,
         incarnation: u64,
@@ -713,13 +757,13 @@
         minion: &MinionId,
         call: MinionCall,
     ) {
-        let on_dead = self.minions_of.iter().any(|(worker, minions)| {
+        let worker_is_dead = self.minions_by_worker.iter().any(|(worker, minions)| {
             minions.contains(minion) && self.dead_workers.contains(worker)
         });
         let Some(found) = self.minions.get_mut(minion) else {
             return;
         };
-        if on_dead {
+        if worker_is_dead {
             return;
         }
         let reply = match call {
@@ -728,7 +772,7 @@
                     self.checker.on_request(attempt, found.state.busy, found.state.slots);
                     let work_ms = self.rng.random_range(5..400);
                     let answer = format!("answer to {body}");
-                    let done = Delivery::MinionDone(
+                    let done = SimEvent::MinionDone(
                         node,
                         incarnation,
                         op,
@@ -741,17 +785,23 @@
                 }
                 Admission::Busy => MinionReply::Busy,
                 Admission::Sealed => MinionReply::NeverStarted,
-                Admission::Duplicate(progress) => told(progress),
+                Admission::Duplicate(progress) => progress_reply(progress),
             },
-            MinionCall::Seal { attempt } => told(found.seal(attempt)),
+            MinionCall::Seal { attempt } => progress_reply(found.seal(attempt)),
         };
-        if self.dropped() {
+        if self.draw_message_loss() {
             return;
         }
-        self.reply(node, incarnation, op, Kind::Minion, Event::MinionDone { op, reply: Ok(reply) });
+        self.reply(
+            node,
+            incarnation,
+            op,
+            CallKind::Minion,
+            Event::MinionDone { op, reply: Ok(reply) },
+        );
     }
 
-    fn at_peer(&mut self, node: usize, incarnation: u64, op: OpId, to: usize, call: PeerCall) {
+    fn on_peer_call(&mut self, node: usize, incarnation: u64, op: OpId, to: usize, call: PeerCall) {
         if self.nodes[to].engine.is_none() || self.peer_cut.contains(&(node, to)) {
             return;
         }
@@ -768,7 +818,7 @@
     }
 }
 
-fn told(progress: Progress) -> MinionReply {
+fn progress_reply(progress: Progress) -> MinionReply {
     match progress {
         Progress::Running => MinionReply::Running,
         Progress::Sealed => MinionReply::NeverStarted,
--- a/crates/world/src/traffic.rs
+++ b/crates/world/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Bytes and calls of one daemon, with the real codecs.
+//! Traffic counters of one daemon, with sizes as the real codecs encode them.
 
 use bincode::Options;
 use serde::Serialize;
@@ -6,14 +6,14 @@
 use stoatwell_platform::StoreCall;
 use stoatwell_platform::WorkerCall;
 
-/// What one daemon sent, received and asked so far. Bytes are those of the
-/// messages alone; what the transports add is measured on real connections.
+/// Messages, calls and bytes of one daemon since the simulation began. Bytes are those of
+/// the encoded messages alone; the overhead of the transports is measured on real connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCounts {
     pub peer_messages: u64,
     pub peer_sent_bytes: u64,
     pub peer_received_bytes: u64,
-    /// Sent to other regions.
+    /// Peer messages sent to other regions; also part of `peer_messages`.
     pub cross_region_messages: u64,
     pub cross_region_sent_bytes: u64,
     pub worker_calls: u64,
@@ -25,11 +25,11 @@
 }
 
 impl TrafficCounts {
-    pub(crate) fn peer_sent(&mut self, message: &impl Serialize, far: bool) {
+    pub(crate) fn peer_sent(&mut self, message: &impl Serialize, cross_region: bool) {
         let bytes = wire_bytes(message);
         self.peer_messages += 1;
         self.peer_sent_bytes += bytes;
-        if far {
+        if cross_region {
             self.cross_region_messages += 1;
             self.cross_region_sent_bytes += bytes;
         }
@@ -53,7 +53,7 @@
         self.store_bytes += json_bytes(call);
     }
 
-    pub(crate) fn answer(&mut self, event: &Event) {
+    pub(crate) fn reply_received(&mut self, event: &Event) {
         match event {
             Event::WorkerDone { reply: Ok(reply), .. } => {
                 self.worker_received_bytes += json_bytes(reply);
@@ -63,7 +63,7 @@
         }
     }
 
-    /// What came after `earlier`.
+    /// Traffic since `earlier`, an older copy of these counters.
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
             peer_messages: self.peer_messages - earlier.peer_messages,
@@ -81,13 +81,13 @@
     }
 }
 
-/// Size of a message between daemons.
+/// Encoded size in bytes of a message between daemons.
 pub fn wire_bytes(message: &impl Serialize) -> u64 {
-    // The options of the codec between daemons.
+    // The codec between daemons uses these options.
     bincode::DefaultOptions::new().serialized_size(message).unwrap_or(0)
 }
 
-/// Size of a message to the platform or a worker.
+/// Encoded size in bytes of a call to the platform or a worker, or of its reply.
 pub fn json_bytes(message: &impl Serialize) -> u64 {
     serde_json::to_vec(message).map_or(0, |bytes| bytes.len() as u64)
 }
