--- a/crates/pool/tests/customers.rs
+++ b/crates/pool/tests/customers.rs
@@ -1,4 +1,4 @@
-//! What customers may take of a pool, and what they get when it is full.
+//! Caps and weights of customers: limits on their use, and shares of a full pool.
 
 mod world;
 
@@ -18,49 +18,49 @@
 use self::world::queue;
 use self::world::step;
 
-/// Days played in an ordinary run; set `SEEDS` for more, `SEED` for one.
+/// The number of seeds in an ordinary run; set `SEEDS` for more, `SEED` for a single one.
 const SEEDS: u64 = 150;
-/// The lowest cap of any day; a gang that needs more could never start.
+/// The lowest cap; a gang that needs more could never start. Gangs here need less.
 const CAP_MIN_MILLIS: u64 = 24_000;
 
 fn cpu(cpu_millis: u64) -> Resources {
     Resources { cpu_millis, ..Resources::ZERO }
 }
 
-fn owned(spec: JobSpec, customer: &str, cap: Resources) -> JobSpec {
+fn with_customer(spec: JobSpec, customer: &str, cap: Resources) -> JobSpec {
     let name = CustomerName::new(customer);
     JobSpec { customer: Some(CustomerLimits { name, weight: 10.0, cap }), ..spec }
 }
 
-fn any_job(rng: &mut Pcg64) -> JobSpec {
-    let steps = rng.random_range(1..3);
-    let mut all = Vec::new();
-    for number in 0..steps {
+fn random_job(rng: &mut Pcg64) -> JobSpec {
+    let step_count = rng.random_range(1..3);
+    let mut steps = Vec::new();
+    for index in 0..step_count {
         let tasks = rng.random_range(1..9);
-        let mut one = step(tasks, rng.random_range(200..3_000), rng.random_range(100..2_500));
-        one.gang = rng.random_range(0..3) == 0;
-        if number > 0 && rng.random_range(0..2) == 0 {
-            one.after.push(number - 1);
+        let mut step = step(tasks, rng.random_range(200..3_000), rng.random_range(100..2_500));
+        step.gang = rng.random_range(0..3) == 0;
+        if index > 0 && rng.random_range(0..2) == 0 {
+            step.after.push(index - 1);
         }
-        all.push(one);
+        steps.push(step);
     }
-    job(queue(rng.random_range(0..3)), all)
+    job(queue(rng.random_range(0..3)), steps)
 }
 
-/// A day of three customers, two of them over their caps, under mixed faults; caps are
-/// lowered and raised meanwhile. `tells` is whether the scheduler learns of caps.
-fn play(seed: u64, tells: bool) -> Result<(), String> {
+/// Runs random jobs of three customers under a random mix of faults while caps are set,
+/// lowered and raised. `with_notifications` is whether the scheduler is notified of caps.
+fn simulate(seed: u64, with_notifications: bool) -> Result<(), String> {
     let mut rng = Pcg64::seed_from_u64(seed ^ 0xca9);
     let mut draw =
-        |most: u32| if rng.random_range(0..3) == 0 { rng.random_range(0..most) } else { 0 };
+        |limit: u32| if rng.random_range(0..3) == 0 { rng.random_range(0..limit) } else { 0 };
     let faults = Faults {
         lost_calls: draw(60),
         lost_answers: draw(60),
         late_calls: draw(60),
         failed_runs: draw(300),
         crashes: draw(8),
-        cuts: draw(12),
-        take_overs: draw(40),
+        isolations: draw(12),
+        failovers: draw(40),
         ..Faults::default()
     };
     let mut world = World::new(seed, 12, faults);
@@ -69,21 +69,22 @@
         let customer = &names[rng.random_range(0..names.len())];
         if number % 15 == 0 {
             let cap = cpu(rng.random_range(CAP_MIN_MILLIS..60_000));
-            if tells {
+            if with_notifications {
                 world.set_cap(customer, 10.0, cap);
             } else {
                 world.write_cap(customer, 10.0, cap);
             }
         }
         let cap = world.customers.get(customer).map_or(Resources::ZERO, |limits| limits.cap);
-        let cap = if tells { cap } else { Resources::ZERO };
-        world.submit(number, owned(any_job(&mut rng), customer.as_str(), cap));
+        let cap = if with_notifications { cap } else { Resources::ZERO };
+        world.submit(number, with_customer(random_job(&mut rng), customer.as_str(), cap));
         world.run(rng.random_range(20..250));
         if rng.random_range(0..12) == 0 {
             world.cancel(rng.random_range(0..=number));
         }
     }
-    // The members of a gang fail together, so runs go on failing as before.
+    // The rate of failed runs stays: the members of a gang draw from one seed, and a change
+    // of the rate between their starts would let only some of them fail.
     world.faults = Faults { failed_runs: faults.failed_runs, ..Faults::default() };
     for _ in 0..160 {
         world.run(500);
@@ -91,58 +92,64 @@
             break;
         }
     }
-    if let Some(first) = world.broken.first() {
-        return Err(format!("{first} ({} in all), {faults:?}", world.broken.len()));
+    if let Some(first) = world.violations.first() {
+        return Err(format!("{first} ({} in all), {faults:?}", world.violations.len()));
     }
     if let Some(open) = world.open_jobs().first() {
-        return Err(format!("{open} is not over:\n{}\n{faults:?}", world.explain(*open)));
+        return Err(format!("{open} is not finished:\n{}\n{faults:?}", world.explain(*open)));
     }
     Ok(())
 }
 
-/// Guards against a start that brings a customer above its cap, after any loss or change.
+/// Guards against a start that takes a customer above its cap, after any fault or change of
+/// a cap.
 #[test]
-fn no_customer_passes_its_cap_under_any_mix_of_faults() {
-    let one = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok());
+fn no_customer_exceeds_its_cap_under_any_mix_of_faults() {
+    let single_seed = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok());
     let count = std::env::var("SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(SEEDS);
-    let seeds = one.map_or(0..count, |seed: u64| seed..seed + 1);
-    if one.is_some() {
-        // One day is looked at closely: `SEED=7 cargo test --test customers -- --nocapture`.
+    let seeds = single_seed.map_or(0..count, |seed: u64| seed..seed + 1);
+    if single_seed.is_some() {
+        // A single seed is for debugging: `SEED=7 cargo test --test customers -- --nocapture`.
         tracing_subscriber::fmt().with_target(false).without_time().init();
     }
-    let mut broken = Vec::new();
+    let mut failed_seeds = Vec::new();
     for seed in seeds {
-        if let Err(why) = play(seed, true) {
-            broken.push(format!("SEED={seed}: {why}"));
+        if let Err(why) = simulate(seed, true) {
+            failed_seeds.push(format!("SEED={seed}: {why}"));
         }
     }
-    assert!(broken.is_empty(), "{} days broken, the first:\n{}", broken.len(), broken[0]);
+    assert!(
+        failed_seeds.is_empty(),
+        "{} seeds failed, the first:\n{}",
+        failed_seeds.len(),
+        failed_seeds[0]
+    );
 }
 
-/// Guards against a check that would find nothing: a scheduler that is not told of caps
-/// passes them.
+/// Guards against a cap check that finds nothing: a scheduler that is not notified of caps
+/// exceeds them, and the check has to report it.
 #[test]
-fn a_scheduler_that_knows_no_caps_is_caught() {
-    let caught = (0..10).filter(|seed| play(*seed, false).is_err()).count();
-    assert!(caught > 5, "{caught} of 10 days");
+fn a_scheduler_without_caps_fails_the_cap_check() {
+    let failed_seeds = (0..10).filter(|seed| simulate(*seed, false).is_err()).count();
+    assert!(failed_seeds > 5, "{failed_seeds} of 10 seeds failed");
 }
 
-/// Guards against a step that waits for ever because all of it does not fit its cap.
+/// Guards against a step that waits forever because not all of its tasks fit into the cap.
 #[test]
 fn a_step_wider_than_its_cap_runs_in_waves() {
     let mut world = World::new(1, 12, Faults::default());
     world.run(100);
     let cap = cpu(4_000);
     world.set_cap(&CustomerName::new("a"), 1.0, cap);
-    world.submit(1, owned(job(queue(1), vec![step(10, 1_000, 400)]), "a", cap));
+    world.submit(1, with_customer(job(queue(1), vec![step(10, 1_000, 400)]), "a", cap));
     world.run(8_000);
     assert_eq!(world.state(1), Some(JobState::Completed), "{}", world.explain(JobId(1)));
-    assert!(world.broken.is_empty(), "{:?}", world.broken.first());
+    assert!(world.violations.is_empty(), "{:?}", world.violations.first());
 }
 
-/// Guards against a customer at its cap that keeps room or workers from the others.
+/// Guards against a customer at its cap that takes or reserves capacity that others could use.
 #[test]
-fn a_customer_at_its_cap_holds_nobody_up() {
+fn a_customer_at_its_cap_does_not_delay_others() {
     let mut world = World::new(2, 12, Faults::default());
     world.run(100);
     let cap = cpu(30_000);
@@ -150,94 +157,99 @@
     for number in 0..30 {
         let mut wide = job(queue(0), vec![step(6, 4_000, 2_000)]);
         wide.steps[0].gang = true;
-        world.submit(number, owned(wide, "a", cap));
+        world.submit(number, with_customer(wide, "a", cap));
     }
     for number in 100..120 {
         let spec = job(queue(2), vec![step(4, 1_000, 500)]);
-        world.submit(number, owned(spec, "b", Resources::ZERO));
+        world.submit(number, with_customer(spec, "b", Resources::ZERO));
     }
     world.run(3_000);
     for number in 100..120 {
         assert_eq!(world.state(number), Some(JobState::Completed), "{number}");
     }
-    assert!(world.broken.is_empty(), "{:?}", world.broken.first());
+    assert!(world.violations.is_empty(), "{:?}", world.violations.first());
 }
 
-/// Two seconds of `a` sending `flood` times its weight beside `b`, in a pool that is full
-/// with what `a` sends; gives the share of the jobs of `b` that are over 1.5 s after they came.
-fn beside_a_flood(flood: u64) -> f64 {
+/// Customer `a` submits `flood` jobs every 100 ms and customer `b` of the same weight one
+/// every 200 ms. Returns the share of the jobs of `b` that are completed 1.5 s after the
+/// arrivals end.
+fn completed_share_beside(flood: u64) -> f64 {
     let mut world = World::new(4, 12, Faults::default());
     world.run(100);
     for name in ["a", "b"] {
         world.set_cap(&CustomerName::new(name), 10.0, Resources::ZERO);
     }
     let mut number = 0;
-    let mut others = Vec::new();
-    for tenth in 0..60 {
+    let mut jobs_of_b = Vec::new();
+    for tick in 0..60 {
         for _ in 0..flood {
             number += 1;
-            let mut spec = owned(job(queue(0), vec![step(6, 2_000, 600)]), "a", Resources::ZERO);
+            let mut spec =
+                with_customer(job(queue(0), vec![step(6, 2_000, 600)]), "a", Resources::ZERO);
             spec.accepted_unix_ms = world.now_ms;
             world.submit(number, spec);
         }
-        if tenth % 2 == 0 {
+        if tick % 2 == 0 {
             number += 1;
-            let mut spec = owned(job(queue(0), vec![step(4, 2_000, 500)]), "b", Resources::ZERO);
+            let mut spec =
+                with_customer(job(queue(0), vec![step(4, 2_000, 500)]), "b", Resources::ZERO);
             spec.accepted_unix_ms = world.now_ms;
             world.submit(number, spec);
-            others.push(number);
+            jobs_of_b.push(number);
         }
         world.run(100);
     }
     world.run(1_500);
-    let over = |number: &&u64| world.state(**number) == Some(JobState::Completed);
-    assert!(world.broken.is_empty(), "{:?}", world.broken.first());
-    others.iter().filter(over).count() as f64 / others.len() as f64
+    let is_completed = |number: &&u64| world.state(**number) == Some(JobState::Completed);
+    assert!(world.violations.is_empty(), "{:?}", world.violations.first());
+    jobs_of_b.iter().filter(is_completed).count() as f64 / jobs_of_b.len() as f64
 }
 
-/// Guards against a customer that floods a queue and takes the others' turns in it.
+/// Guards against a customer that delays the other customers of a queue by flooding it:
+/// jobs beyond a customer's weighted share wait for jobs within one.
 #[test]
-fn what_is_beyond_a_weight_waits_for_what_is_within() {
-    let calm = beside_a_flood(0);
-    let flooded = beside_a_flood(5);
-    assert!(flooded >= calm * 0.97, "{flooded} beside a flood, {calm} without");
+fn jobs_beyond_a_share_wait_for_jobs_within_a_share() {
+    let baseline = completed_share_beside(0);
+    let flooded = completed_share_beside(5);
+    assert!(flooded >= baseline * 0.97, "{flooded} beside a flood, {baseline} without");
 }
 
-/// Guards against a wide gang of a customer at its cap that never starts, because smaller
-/// work of the customer takes each bit of the cap as it comes free.
+/// Guards against starvation of a wide gang of a customer at its cap: smaller jobs of the
+/// same customer would take each part of the cap as it becomes free.
 #[test]
-fn a_gang_at_its_customers_cap_is_not_overtaken_for_ever() {
+fn a_gang_at_its_customers_cap_is_not_starved() {
     let mut world = World::new(6, 12, Faults::default());
     world.run(100);
     let cap = cpu(40_000);
     world.set_cap(&CustomerName::new("a"), 10.0, cap);
     let mut number = 0;
-    for tenth in 0..80 {
+    for tick in 0..80 {
         number += 1;
-        world.submit(number, owned(job(queue(2), vec![step(5, 2_000, 1_500)]), "a", cap));
-        if tenth == 20 {
+        world.submit(number, with_customer(job(queue(2), vec![step(5, 2_000, 1_500)]), "a", cap));
+        if tick == 20 {
             let mut wide = job(queue(1), vec![step(12, 3_000, 500)]);
             wide.steps[0].gang = true;
-            world.submit(1_000, owned(wide, "a", cap));
+            world.submit(1_000, with_customer(wide, "a", cap));
         }
         world.run(100);
     }
     assert_eq!(world.state(1_000), Some(JobState::Completed), "{}", world.explain(JobId(1_000)));
-    assert!(world.broken.is_empty(), "{:?}", world.broken.first());
+    assert!(world.violations.is_empty(), "{:?}", world.violations.first());
 }
 
-/// Guards against a job that waits for its customer's cap with nobody able to tell why.
+/// Guards against a job that waits for its customer's cap without an explanation that says
+/// so.
 #[test]
-fn a_job_that_waits_for_a_cap_says_so() {
+fn the_explanation_names_a_cap_that_a_job_waits_for() {
     let mut world = World::new(7, 12, Faults::default());
     world.run(100);
     let cap = cpu(8_000);
     world.set_cap(&CustomerName::new("a"), 3.0, cap);
-    world.submit(1, owned(job(queue(1), vec![step(8, 1_000, 2_000)]), "a", cap));
+    world.submit(1, with_customer(job(queue(1), vec![step(8, 1_000, 2_000)]), "a", cap));
     let mut gang = job(queue(1), vec![step(4, 1_000, 500)]);
     gang.steps[0].gang = true;
     world.run(200);
-    world.submit(2, owned(gang, "a", cap));
+    world.submit(2, with_customer(gang, "a", cap));
     world.run(200);
     let lines = world.explain(JobId(2));
     assert!(lines.contains("customer a: has") && lines.contains("waits for the customer's cap"));
--- a/crates/pool/tests/failures.rs
+++ b/crates/pool/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Single failures of a pool, each in virtual time.
+//! Single failures of a pool, in virtual time.
 
 mod world;
 
@@ -13,35 +13,34 @@
 use self::world::queue;
 use self::world::step;
 
-fn calm(workers: usize) -> World {
+fn world_without_faults(workers: usize) -> World {
     let mut world = World::new(7, workers, Faults::default());
     world.run(100);
     world
 }
 
-/// The worker of the only run at work.
+/// The first worker with an active run.
 fn busy_worker(world: &World) -> WorkerId {
     let busy = world.workers.values().find(|worker| !worker.active.is_empty());
-    busy.map(|worker| worker.name.clone()).expect("a run at work")
+    busy.map(|worker| worker.name.clone()).expect("an active run")
 }
 
-fn assert_kept(world: &World) {
-    let (count, first) = (world.broken.len(), world.broken.first());
-    assert!(count == 0, "{count} promises broken, first: {first:?}");
+fn assert_no_violations(world: &World) {
+    let (count, first) = (world.violations.len(), world.violations.first());
+    assert!(count == 0, "{count} violations, first: {first:?}");
 }
 
-/// A worker loses power and never comes back; nothing refuses its calls, they
-/// just bring no answer. Its tasks have to start elsewhere once its lease has
-/// lapsed; a user would otherwise wait for a job for ever.
+/// Guards against a job that never ends because a worker lost power: calls to it are not
+/// refused but get no answer. Its tasks have to start elsewhere once its lease has expired.
 #[test]
-fn tasks_of_a_worker_that_stays_dark_start_elsewhere() {
-    let mut world = calm(3);
+fn tasks_of_an_unreachable_worker_start_elsewhere() {
+    let mut world = world_without_faults(3);
     let mut spec = job(queue(1), vec![step(4, 6_000, 10_000)]);
     spec.steps[0].gang = true;
     world.submit(1, spec);
     world.run(300);
     let name = busy_worker(&world);
-    world.cut(&name, 1_000_000);
+    world.isolate(&name, 1_000_000);
     world.run(LEASE_MS * 103 / 100 + 24_000);
     assert_eq!(
         world.state(1),
@@ -49,48 +48,47 @@
         "{}",
         world.explain(stoatwell_pool::JobId(1))
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// The scheduler dies while tasks run. The next one finds them by its first
-/// holds and lets them finish; a user would otherwise pay for the work twice
-/// and wait for it twice.
+/// Guards against running tasks that are started again, at twice the cost and time, when the
+/// scheduler crashes: the next one discovers them with its first holds and lets them finish.
 #[test]
 fn a_new_scheduler_lets_running_tasks_finish() {
-    let mut world = calm(4);
+    let mut world = world_without_faults(4);
     world.submit(1, job(queue(1), vec![step(6, 3_000, 3_000)]));
     world.run(500);
     let starts = world.starts;
     assert_eq!(starts, 6);
-    world.take_over();
+    world.fail_over();
     world.run(7_000);
     assert_eq!(world.state(1), Some(JobState::Completed));
-    assert_eq!(world.starts, starts, "nothing was started again");
-    assert_kept(&world);
+    assert_eq!(world.starts, starts, "no task was started again");
+    assert_no_violations(&world);
 }
 
-/// The scheduler dies and a worker with running tasks is on the list no more,
-/// as when its entry lapsed with the store. The new scheduler asks at the
-/// address that the rows name; a user would otherwise wait for the lapse.
+/// The scheduler crashes while a worker with running tasks is not listed, as when its entry
+/// in the store has expired. Guards against waiting for the expiry of its lease: the new
+/// scheduler contacts the worker at the address in the rows.
 #[test]
 fn a_new_scheduler_finds_workers_that_are_not_listed() {
-    let mut world = calm(2);
+    let mut world = world_without_faults(2);
     world.submit(1, job(queue(1), vec![step(1, 3_000, 2_000)]));
     world.run(300);
     let name = busy_worker(&world);
     world.unlisted.insert(name);
-    world.take_over();
+    world.fail_over();
     world.run(5_000);
     assert_eq!(world.state(1), Some(JobState::Completed));
     assert_eq!(world.starts, 1);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// A worker crashes and is back at once under its old name. What ran there is
-/// gone and starts again; nobody waits for the old lease to lapse.
+/// Guards against waiting for the expiry of a worker's lease after it crashed and restarted
+/// under the same name: its runs are gone, so they have to start again at once.
 #[test]
-fn tasks_of_a_worker_that_began_a_new_life_start_again_at_once() {
-    let mut world = calm(2);
+fn tasks_of_a_restarted_worker_start_again_at_once() {
+    let mut world = world_without_faults(2);
     world.submit(1, job(queue(1), vec![step(1, 3_000, 2_000)]));
     world.run(300);
     let name = busy_worker(&world);
@@ -98,110 +96,107 @@
     world.run(6_000);
     assert_eq!(world.state(1), Some(JobState::Completed));
     assert_eq!(world.starts, 2);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// A worker answers holds but its tasks make no progress. They move to another
-/// worker; a user would otherwise see a job that runs for ever.
+/// Guards against a job that never ends because a worker answers holds while its tasks make
+/// no progress: they have to move to another worker.
 #[test]
-fn tasks_that_stand_still_are_moved() {
-    let mut world = calm(2);
+fn stalled_tasks_are_moved() {
+    let mut world = world_without_faults(2);
     world.submit(1, job(queue(0), vec![step(1, 3_000, 600)]));
     world.run(150);
     let name = busy_worker(&world);
-    world.workers.get_mut(&name).expect("known").hangs = true;
+    world.workers.get_mut(&name).expect("known").hung = true;
     world.run(6_000);
     assert_eq!(world.state(1), Some(JobState::Completed));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// A caller cancels a job whose tasks run. They are gone soon and none starts
-/// any more; a user would otherwise pay for work that nobody wants.
+/// Guards against users who pay for work of a cancelled job: its tasks have to be stopped
+/// soon, and none may start any more.
 #[test]
 fn cancelled_tasks_are_stopped() {
-    let mut world = calm(3);
+    let mut world = world_without_faults(3);
     world.submit(1, job(queue(1), vec![step(8, 4_000, 9_000)]));
     world.run(400);
     world.cancel(1);
     world.run(1_500);
     assert_eq!(world.state(1), Some(JobState::Cancelled));
     assert!(world.workers.values().all(|worker| worker.active.is_empty()));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// A firewall in front of a worker refuses every connection while the worker
-/// runs on. A refused connection looks like that of a process that is gone;
-/// taken for that, the tasks would start elsewhere at once and a user would see
-/// two vans in one lobby.
+/// A firewall in front of a worker refuses every connection while the worker continues to
+/// run. Guards against tasks that run twice because a refused connection is taken as proof
+/// that the process is gone.
 #[test]
 fn a_refused_connection_does_not_prove_that_a_worker_is_gone() {
-    let mut world = calm(3);
+    let mut world = world_without_faults(3);
     world.submit(1, job(queue(1), vec![step(3, 3_000, 4_000)]));
     world.run(300);
     let name = busy_worker(&world);
-    world.refuse(&name, 4_000);
+    world.refuse_connections(&name, 4_000);
     world.run(12_000);
-    assert_kept(&world);
+    assert_no_violations(&world);
     assert_eq!(world.state(1), Some(JobState::Completed));
 }
 
-/// Connections to a worker with free room are refused for a while. Nothing new
-/// goes there meanwhile; every job placed there would otherwise have to be
-/// placed again and again, and its user would wait.
+/// Connections to a worker with free capacity are refused for a while. Guards against delays
+/// of jobs that are placed there again and again.
 #[test]
-fn nothing_new_goes_to_a_worker_that_refuses() {
-    let mut world = calm(2);
+fn no_task_is_placed_on_a_worker_that_refuses_connections() {
+    let mut world = world_without_faults(2);
     let name = world.workers.keys().next().cloned().expect("a worker");
-    world.refuse(&name, 60_000);
+    world.refuse_connections(&name, 60_000);
     world.run(700);
     let starts = world.starts;
     world.submit(1, job(queue(0), vec![step(4, 1_000, 300)]));
     world.run(300);
     assert_eq!(world.starts - starts, 4, "{}", world.explain(stoatwell_pool::JobId(1)));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// A caller cancels a job, and the scheduler dies after that is durable and
-/// before the worker has heard of it. The next scheduler stops the tasks; they
-/// would otherwise run to their end, and a user would pay for work nobody wants.
+/// The scheduler crashes after a cancellation is durable and before it has stopped the tasks.
+/// Guards against users who pay for work of a cancelled job: the next scheduler has to stop
+/// them.
 #[test]
-fn a_new_scheduler_stops_what_was_cancelled_before() {
-    let mut world = calm(2);
+fn a_new_scheduler_stops_tasks_of_jobs_cancelled_before() {
+    let mut world = world_without_faults(2);
     world.submit(1, job(queue(1), vec![step(1, 3_000, 20_000)]));
     world.run(300);
     let name = busy_worker(&world);
-    world.cut(&name, 800);
+    world.isolate(&name, 800);
     world.cancel(1);
     world.run(600);
-    world.take_over();
+    world.fail_over();
     world.run(2_500);
     assert!(world.workers.values().all(|worker| worker.active.is_empty()));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// A worker crashes and is back under its old name while starts are under way to
-/// it. They are carried out by the new life, which the scheduler has not heard
-/// of yet. What it finds there counts; started again, a route would be driven
-/// twice.
+/// A worker crashes and restarts while starts are in flight, which its new incarnation
+/// carries out before the scheduler knows of it. Guards against tasks that run twice: the
+/// runs that the scheduler discovers there count.
 #[test]
-fn starts_that_a_new_life_carries_out_are_not_repeated() {
-    let mut world = calm(1);
+fn starts_carried_out_by_a_new_incarnation_are_not_repeated() {
+    let mut world = world_without_faults(1);
     world.run(500);
     let name = world.workers.keys().next().cloned().expect("a worker");
     world.crash(&name);
     world.workers.get_mut(&name).expect("known").up = true;
     world.submit(1, job(queue(1), vec![step(4, 2_000, 400)]));
     world.run(8_000);
-    assert_kept(&world);
+    assert_no_violations(&world);
     assert_eq!(world.state(1), Some(JobState::Completed));
     assert_eq!(world.starts, 4);
 }
 
-/// The same, and the scheduler dies as well. The row names the former life of
-/// the worker, yet the run is in the new one.
+/// As above, and the scheduler crashes too: the row names the worker's former incarnation
+/// although the run is in the new one.
 #[test]
-fn a_new_scheduler_finds_runs_that_a_new_life_carried_out() {
-    let mut world = calm(1);
+fn a_new_scheduler_finds_runs_started_by_a_new_incarnation() {
+    let mut world = world_without_faults(1);
     world.run(500);
     let name = world.workers.keys().next().cloned().expect("a worker");
     world.crash(&name);
@@ -209,19 +204,19 @@
     world.submit(1, job(queue(1), vec![step(4, 2_000, 3_000)]));
     world.run(60);
     assert_eq!(world.starts, 4);
-    world.take_over();
+    world.fail_over();
     world.run(8_000);
-    assert_kept(&world);
+    assert_no_violations(&world);
     assert_eq!(world.state(1), Some(JobState::Completed));
     assert_eq!(world.starts, 4);
 }
 
-/// A worker crashes and comes back with less room, and answers the scheduler
-/// before the list tells what it holds now. It gets nothing until the list
-/// does; it would otherwise be overloaded, and every task on it would fail.
+/// A worker crashes, restarts with less capacity and answers the scheduler before the list
+/// has its new capacity. Guards against an overloaded worker whose tasks all fail: it gets no
+/// task until it is listed again.
 #[test]
-fn a_new_life_gets_nothing_before_its_room_is_known() {
-    let mut world = calm(1);
+fn a_new_incarnation_gets_no_task_before_its_capacity_is_known() {
+    let mut world = world_without_faults(1);
     world.run(500);
     let name = world.workers.keys().next().cloned().expect("a worker");
     world.crash(&name);
@@ -231,98 +226,100 @@
     world.run(800);
     world.submit(1, job(queue(1), vec![step(6, 2_000, 400)]));
     world.run(8_000);
-    assert_kept(&world);
+    assert_no_violations(&world);
     assert_eq!(world.state(1), Some(JobState::Completed));
 }
 
-/// The scheduler dies, and a worker that the rows name is listed with a new life
-/// when the next one reads the list. It takes tasks like any other; a pool would
-/// otherwise shrink with every crash beside a change of scheduler.
+/// The scheduler crashes, and when the next one reads the list, it has a new incarnation of
+/// a worker that the rows name. Guards against a pool that shrinks with every worker crash
+/// close to a failover: the worker has to get tasks like any other.
 #[test]
-fn a_worker_listed_with_a_new_life_after_a_take_over_is_used() {
-    let mut world = calm(1);
+fn a_worker_listed_with_a_new_incarnation_after_a_failover_is_used() {
+    let mut world = world_without_faults(1);
     world.submit(1, job(queue(1), vec![step(1, 3_000, 60_000)]));
     world.run(300);
     let name = busy_worker(&world);
     world.crash(&name);
     world.run(1_490);
-    world.take_over();
+    world.fail_over();
     world.submit(2, job(queue(1), vec![step(1, 3_000, 300)]));
     world.run(3_000);
     assert_eq!(world.state(2), Some(JobState::Completed));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// A scheduler is cut off from the store and still reaches its workers. Another one
-/// may hold the duty and count on their leases to lapse, so it extends them no
-/// more after a while; a batch that runs on here and again there would send two
-/// vans to one lobby.
+/// A scheduler cannot reach the store but still reaches its workers. Guards against tasks
+/// that run twice: another daemon may hold the leader lease and rely on the expiry of the
+/// workers' leases, so the scheduler has to stop extending them after a while.
 #[test]
-fn a_scheduler_that_cannot_renew_its_duty_lets_leases_lapse() {
-    let mut world = calm(2);
+fn a_scheduler_that_cannot_renew_the_leader_lease_lets_worker_leases_expire() {
+    let mut world = world_without_faults(2);
     world.submit(1, job(queue(1), vec![step(1, 3_000, 60_000)]));
     world.run(500);
-    world.renews = false;
+    world.can_renew_lease = false;
     world.run(EXTENSION_WINDOW_MS - 500);
-    assert!(world.workers.values().any(|worker| !worker.active.is_empty()), "not at once");
+    assert!(
+        world.workers.values().any(|worker| !worker.active.is_empty()),
+        "the leases do not expire at once"
+    );
     world.run(500 + LEASE_MS * 1_025 / 1_000 + 600);
     assert!(world.workers.values().all(|worker| worker.active.is_empty()));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// A worker is lost for good and the scheduler with it, whose successor knows that
-/// it is dead. The successor waits for one lease, not for the longest that a worker
-/// grants to anybody; a user would wait the difference for nothing.
+/// A worker and the scheduler are lost together, and the next scheduler knows that the former
+/// one is dead. Guards against a wait beyond one lease, up to the longest lease that a worker
+/// grants to anybody.
 #[test]
 fn a_new_scheduler_waits_for_one_lease_of_a_worker_it_cannot_reach() {
-    let mut world = calm(3);
+    let mut world = world_without_faults(3);
     world.submit(1, job(queue(1), vec![step(1, 3_000, 500)]));
     world.run(150);
     let name = busy_worker(&world);
-    world.workers.get_mut(&name).expect("known").dark = true;
-    world.take_over();
+    world.workers.get_mut(&name).expect("known").permanently_isolated = true;
+    world.fail_over();
     world.run(LEASE_MS * 1_025 / 1_000 + 2_500);
     assert_eq!(world.state(1), Some(JobState::Completed));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// A worker is cut off with a task that may have copies; its lease lapses and the
-/// task starts again elsewhere. Then the first worker is back and tells that it was
-/// done in time. The copy's room stays taken until it is stopped; the worker would
-/// otherwise get more than it holds, and everything on it would suffer.
+/// A worker with a speculative task becomes unreachable; its lease expires and the task
+/// starts again elsewhere. Then the first worker is reachable again and reports that the task
+/// completed in time. Guards against an overloaded worker: the capacity of the second run
+/// has to stay allocated until that run is stopped.
 #[test]
-fn the_room_of_a_copy_is_taken_until_it_is_gone() {
-    let mut world = calm(2);
-    let mut copied = job(queue(1), vec![step(1, 12_000, 3_000)]);
-    copied.steps[0].speculative = true;
-    world.submit(1, copied);
+fn the_capacity_of_a_second_run_stays_allocated_until_it_is_gone() {
+    let mut world = world_without_faults(2);
+    let mut speculative = job(queue(1), vec![step(1, 12_000, 3_000)]);
+    speculative.steps[0].speculative = true;
+    world.submit(1, speculative);
     world.run(300);
     let name = busy_worker(&world);
-    world.cut(&name, 7_200);
+    world.isolate(&name, 7_200);
     world.run(7_250);
-    assert_eq!(world.starts, 2, "the copy runs");
+    assert_eq!(world.starts, 2, "the second run has started");
     world.submit(2, job(queue(1), vec![step(2, 12_000, 1_000)]));
     world.run(9_000);
-    assert_kept(&world);
+    assert_no_violations(&world);
     assert_eq!(world.state(1), Some(JobState::Completed));
     assert_eq!(world.state(2), Some(JobState::Completed));
 }
 
-/// The scheduler dies after it recorded a start and before it sent it. Nothing of
-/// the job has begun, and the count of waiting jobs says so; operators would
-/// otherwise see an empty queue while their work stands.
+/// The scheduler crashes after it recorded a start and before it sent it. Guards against
+/// operators who see an empty queue while no task of the job has started: it has to be
+/// counted as waiting.
 #[test]
 fn a_job_whose_start_was_never_sent_counts_as_waiting() {
-    let mut world = calm(1);
+    let mut world = world_without_faults(1);
     world.submit(1, job(queue(1), vec![step(1, 16_000, 30_000)]));
     world.run(200);
     assert_eq!(world.pending(), 0);
     world.submit(2, job(queue(1), vec![step(1, 1_000, 500)]));
     world.run(200);
-    assert_eq!(world.pending(), 1, "no room for it");
-    world.record_start_of(2);
-    world.take_over();
+    assert_eq!(world.pending(), 1, "there is no capacity for it");
+    world.write_unsent_start(2);
+    world.fail_over();
     world.run(300);
     assert_eq!(world.pending(), 1);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
--- a/crates/pool/tests/features.rs
+++ b/crates/pool/tests/features.rs
@@ -1,4 +1,4 @@
-//! What a job may ask for, each in virtual time.
+//! Optional features of jobs, in virtual time.
 
 mod world;
 
@@ -12,14 +12,14 @@
 use self::world::queue;
 use self::world::step;
 
-fn assert_kept(world: &World) {
-    assert!(world.broken.is_empty(), "{:?}", world.broken.first());
+fn assert_no_violations(world: &World) {
+    assert!(world.violations.is_empty(), "{:?}", world.violations.first());
 }
 
-/// A worker tells that it leaves soon. Nothing new goes there, and what runs there may
-/// end; work that was sent to it would be cut off when it goes.
+/// Guards against tasks that are cut short because they were placed on a worker that had
+/// announced that it will leave. Tasks that run there already may finish.
 #[test]
-fn nothing_new_goes_to_a_worker_that_leaves() {
+fn no_task_is_placed_on_a_draining_worker() {
     let mut world = World::new(41, 2, Faults::default());
     world.run(100);
     world.submit(1, job(queue(1), vec![step(2, 10_000, 1_500)]));
@@ -35,54 +35,53 @@
     assert_eq!(world.state(1), Some(JobState::Completed));
     assert_eq!(world.state(2), Some(JobState::Completed));
     assert_eq!(world.starts, 6);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// A task that saves its progress stands still and is moved. It goes on from what it
-/// saved; a night's costing would otherwise begin anew each time.
+/// Guards against a long batch that starts from the beginning each time a stalled task is
+/// moved, although the task saves checkpoints.
 #[test]
-fn a_moved_task_goes_on_from_its_checkpoint() {
+fn a_moved_task_continues_from_its_checkpoint() {
     let mut world = World::new(43, 2, Faults::default());
     world.run(100);
-    let saving = StepSpec { checkpoints: true, ..step(1, 3_000, 8_000) };
-    world.submit(1, job(queue(1), vec![saving]));
+    let checkpointing = StepSpec { checkpoints: true, ..step(1, 3_000, 8_000) };
+    world.submit(1, job(queue(1), vec![checkpointing]));
     world.run(3_500);
     let busy = world.workers.values_mut().find(|worker| !worker.active.is_empty());
-    busy.expect("a run at work").hangs = true;
+    busy.expect("an active run").hung = true;
     world.run(2_500);
     let done_percent = world.furthest_percent();
     assert!(world.starts == 2 && done_percent >= 15, "{} {done_percent}", world.starts);
     world.run(16_000);
     assert_eq!(world.state(1), Some(JobState::Completed));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// A service's tasks fail and their workers crash. They are started again however
-/// often that happens; a limit on attempts is for work that has an end.
+/// Guards against a service that stops because its tasks failed too often or their workers
+/// crashed: the limit on attempts is for tasks that end, not for long-running ones.
 #[test]
-fn tasks_that_last_are_started_again_however_they_end() {
+fn long_running_tasks_are_restarted_after_any_failure() {
     let mut world = World::new(47, 3, Faults { failed_runs: 1_000, ..Faults::default() });
     world.run(100);
-    let lasting = StepSpec { long_running: true, ..step(3, 3_000, 300) };
-    world.submit(1, job(queue(1), vec![lasting]));
+    let long_running = StepSpec { long_running: true, ..step(3, 3_000, 300) };
+    world.submit(1, job(queue(1), vec![long_running]));
     world.run(12_000);
     assert_eq!(world.state(1), Some(JobState::Running));
     assert!(world.starts > 12, "{}", world.starts);
     let name = world.workers.keys().next().cloned().expect("a worker");
     world.crash(&name);
     world.run(7_000);
-    let at_work: usize = world.workers.values().map(|worker| worker.active.len()).sum();
-    assert!(at_work >= 2, "{at_work} of 3");
+    let running: usize = world.workers.values().map(|worker| worker.active.len()).sum();
+    assert!(running >= 2, "{running} of 3");
     world.cancel(1);
     world.run(1_500);
     assert_eq!(world.state(1), Some(JobState::Cancelled));
     assert!(world.workers.values().all(|worker| worker.active.is_empty()));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// A job runs three times, each when it is due, though another scheduler takes over in
-/// between. A cause list that is made before its time would be wrong, and one that is
-/// forgotten would be missed in court.
+/// Guards against occurrences of a repeated job that run early or are skipped when the
+/// scheduler is replaced between them.
 #[test]
 fn a_repeated_job_runs_each_time_when_it_is_due() {
     let mut world = World::new(53, 2, Faults::default());
@@ -90,16 +89,17 @@
     let mut repeated = job(queue(1), vec![step(2, 1_000, 300)]);
     repeated.repeat = Some(Repeat { first_unix_ms: 3_000, interval_ms: 2_000, times: 3 });
     world.submit(1, repeated);
-    let mut seen = Vec::new();
+    let mut starts_by_time = Vec::new();
     while world.now_ms < 9_000 {
         world.run(100);
-        seen.push((world.now_ms, world.starts));
+        starts_by_time.push((world.now_ms, world.starts));
         if world.now_ms == 4_000 {
-            world.take_over();
+            world.fail_over();
         }
     }
-    let started_by = |at_ms: u64| seen.iter().rev().find(|(ms, _)| *ms <= at_ms).expect("seen").1;
+    let started_by =
+        |at_ms: u64| starts_by_time.iter().rev().find(|(ms, _)| *ms <= at_ms).expect("recorded").1;
     assert_eq!([2_900, 3_500, 4_900, 5_500, 6_900, 7_500].map(started_by), [0, 2, 2, 4, 4, 6]);
     assert_eq!(world.state(1), Some(JobState::Completed));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
--- a/crates/pool/tests/large.rs
+++ b/crates/pool/tests/large.rs
@@ -1,4 +1,4 @@
-//! A pool of 1,100 workers at its usual load, with everything going wrong at once.
+//! A simulated pool of 1,100 workers at its usual load, with several kinds of faults at once.
 
 mod world;
 
@@ -15,14 +15,14 @@
 use self::world::step;
 
 const WORKERS: usize = 1_100;
-/// Days played in an ordinary run; set `SEEDS` for more.
+/// The number of seeds in an ordinary run; set `SEEDS` for more.
 const SEEDS: u64 = 1;
-/// For how long jobs arrive, in fiftieths of a second.
-const ARRIVALS: u64 = 100;
+/// The number of 20 ms ticks in which jobs arrive.
+const ARRIVAL_TICKS: u64 = 100;
 
-/// Three jobs of a fiftieth of a second: most are short and urgent, some wide gangs, some
-/// patient batches; some 1,500 starts a second.
-fn any_job(rng: &mut Pcg64) -> JobSpec {
+/// Draws one of the three jobs of a tick: most are short and urgent, some are wide gangs and
+/// some are batches that can wait. Together they cause some 1,500 starts per second.
+fn random_job(rng: &mut Pcg64) -> JobSpec {
     let (priority, tasks, cpu_millis, estimate_ms, decide_ms, each_ms) =
         match rng.random_range(0..160) {
             0..8 => (1, rng.random_range(8..90), 4_500, 4_000, 390.0, 5.6),
@@ -37,7 +37,7 @@
     job(queue, vec![step])
 }
 
-fn play(seed: u64) -> World {
+fn simulate(seed: u64) -> World {
     let mut rng = Pcg64::seed_from_u64(seed);
     let faults = Faults {
         lost_calls: 5,
@@ -49,16 +49,16 @@
         ..Faults::default()
     };
     let mut world = World::new(seed, WORKERS, faults);
-    world.set_advisors(140);
-    for tick in 0..ARRIVALS {
+    world.set_advisor_daemons(140);
+    for tick in 0..ARRIVAL_TICKS {
         for number in 0..3 {
-            let spec = any_job(&mut rng);
+            let spec = random_job(&mut rng);
             world.submit(tick * 3 + number, spec);
         }
         world.run(20);
-        if tick == ARRIVALS / 2 {
-            world.take_over();
-            world.set_advisors(140);
+        if tick == ARRIVAL_TICKS / 2 {
+            world.fail_over();
+            world.set_advisor_daemons(140);
         }
     }
     world.faults = Faults::default();
@@ -71,13 +71,13 @@
     world
 }
 
-/// Guards against promises that hold in small pools only.
+/// Guards against invariants that hold in small pools only.
 #[test]
-fn promises_hold_in_a_large_pool() {
+fn invariants_hold_in_a_large_pool() {
     let count = std::env::var("SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(SEEDS);
     for seed in 0..count {
-        let world = play(seed);
-        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken.first());
+        let world = simulate(seed);
+        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations.first());
         let open = world.open_jobs();
         assert!(open.is_empty(), "seed {seed}: {} open:\n{}", open.len(), world.explain(open[0]));
         assert!(world.starts > 1_500, "seed {seed}: {} starts", world.starts);
--- a/crates/pool/tests/load.rs
+++ b/crates/pool/tests/load.rs
@@ -1,4 +1,4 @@
-//! Heavy loads of a pool in virtual time: who waits, and where work goes.
+//! Heavy loads in virtual time: which jobs wait, and where tasks are placed.
 
 mod world;
 
@@ -15,22 +15,21 @@
 use self::world::queue;
 use self::world::step;
 
-fn assert_kept(world: &World) {
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+fn assert_no_violations(world: &World) {
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
-/// Patient batches ask for more than the pool has, all the time, and urgent
-/// confirmations come ten a second. A confirmation takes at most 1.2 s of work;
-/// without room left free for it, it would wait for the end of a batch's task,
-/// two seconds and more, and a clerk would wait with it.
+/// Batches of low priority always need more than the pool has while ten urgent jobs arrive
+/// per second, each with at most 1.2 s of work. Guards against urgent jobs that wait two
+/// seconds and more for the end of a batch's task because no capacity is kept free.
 #[test]
-fn urgent_work_finds_room_beside_an_overload_of_patient_work() {
+fn urgent_jobs_find_capacity_beside_an_overload_of_batches() {
     let mut world = World::new(3, 12, Faults::default());
     world.run(100);
     let mut number = 0;
     let mut urgent = Vec::new();
-    for tenth in 0..150 {
-        if tenth % 5 == 0 {
+    for tick in 0..150 {
+        if tick % 5 == 0 {
             number += 1;
             world.submit(number, job(queue(2), vec![step(20, 2_000, 2_000)]));
         }
@@ -39,23 +38,23 @@
         urgent.push((number, world.now_ms));
         world.run(100);
     }
-    let mut late = 0;
-    for (number, sent_ms) in &urgent {
-        let soon = sent_ms + 2_000;
-        if soon > world.now_ms {
+    let mut late_jobs = 0;
+    for (number, submitted_ms) in &urgent {
+        let due_ms = submitted_ms + 2_000;
+        if due_ms > world.now_ms {
             continue;
         }
-        late += usize::from(world.state(*number) != Some(JobState::Completed));
+        late_jobs += usize::from(world.state(*number) != Some(JobState::Completed));
     }
-    assert_eq!(late, 0, "of {} urgent jobs", urgent.len());
-    assert_kept(&world);
+    assert_eq!(late_jobs, 0, "of {} urgent jobs", urgent.len());
+    assert_no_violations(&world);
 }
 
-/// Small gangs arrive faster than they leave and one wide gang waits among
-/// them. Workers are kept for it alone in its rank; small ones would otherwise
-/// take each bit of room first, and a packet for a hearing would never start.
+/// Small gangs arrive faster than they finish while a wide gang of the same priority waits.
+/// Guards against its starvation: workers are reserved for it, as the small gangs would take
+/// each part of the capacity as it becomes free.
 #[test]
-fn a_wide_gang_is_not_overtaken_for_ever() {
+fn a_wide_gang_is_not_starved() {
     let gang = |tasks| {
         let mut spec = job(queue(1), vec![step(tasks, 4_500, 1_500)]);
         spec.steps[0].gang = true;
@@ -78,14 +77,13 @@
     );
     world.run(30_000);
     assert!(world.open_jobs().is_empty());
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// A sixth of the workers turns so slow that their tasks stand nearly still.
-/// Tasks move to other workers; a user would otherwise get the answer of the
-/// slowest worker.
+/// A sixth of the workers stops making progress. Guards against jobs that take as long as
+/// their slowest worker: the tasks have to move to other workers.
 #[test]
-fn work_moves_away_from_slow_workers() {
+fn tasks_move_away_from_stalled_workers() {
     let mut world = World::new(9, 12, Faults::default());
     world.run(100);
     for number in 0..24 {
@@ -94,19 +92,18 @@
     world.run(300);
     let names: Vec<_> = world.workers.keys().take(2).cloned().collect();
     for name in &names {
-        world.workers.get_mut(name).expect("known").hangs = true;
+        world.workers.get_mut(name).expect("known").hung = true;
     }
     world.run(9_000);
     assert!(world.open_jobs().is_empty(), "{:?}", world.open_jobs());
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// Each worker has room for one member of some gangs, and the advisor permits one
-/// worker of five. Each gang asks about as many as it takes to find room now;
-/// with the few that would do in an empty pool it would wait until long batches
-/// end, and a packet for a hearing would come late.
+/// Each worker has capacity for one member of a gang, and the advisor grants one worker of
+/// five. Guards against gangs that wait until long batches end because they query about only
+/// as many workers as an empty pool would need.
 #[test]
-fn a_gang_finds_the_room_there_is_in_a_busy_pool() {
+fn a_gang_finds_the_free_capacity_of_a_busy_pool() {
     let mut world = World::new(11, 120, Faults::default());
     world.granted_of_five = 1;
     world.run(100);
@@ -126,13 +123,13 @@
     let waiting: Vec<u64> =
         gangs.filter(|number| world.state(*number) != Some(JobState::Running)).collect();
     assert!(waiting.is_empty(), "{waiting:?}: {}", world.explain(JobId(waiting[0])));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// The store turns sixty times slower, and each start waits for two of its writes.
-/// Tickets that are good when a place is chosen have expired when the start is sent;
-/// refused starts go through the slow store again, until nothing else does. Users
-/// would wait for as long as the store is slow, and longer.
+/// The store becomes sixty times slower, and each start waits for two of its writes. Guards
+/// against tickets that are valid when a worker is chosen but have expired when the start is
+/// sent: refused starts go through the slow store again until they take all of its
+/// throughput, and jobs wait for as long as the store is slow and longer.
 #[test]
 fn tickets_outlast_the_writes_of_a_slow_store() {
     let mut world = World::new(13, 24, Faults::default());
@@ -148,49 +145,49 @@
     world.run(8_000);
     assert!(world.open_jobs().is_empty(), "{} jobs are open", world.open_jobs().len());
     assert!(world.bad_tickets * 50 < world.starts, "{} of {}", world.bad_tickets, world.starts);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// Most daemons are lost and the rest can ask the advisor little. Questions become
-/// short while they queue up; every job would otherwise wait for questions that name
-/// a hundred workers where ten would do.
+/// Most daemons are lost and the remaining ones can make few queries to the advisor. Guards
+/// against jobs that wait for queries about a hundred workers where ten would do: queries
+/// have to be short while others are queued.
 #[test]
-fn questions_are_short_while_they_queue_up() {
+fn advisor_queries_are_short_while_others_are_queued() {
     let mut world = World::new(17, 100, Faults::default());
-    world.set_advisors(1);
+    world.set_advisor_daemons(1);
     world.run(100);
     let mut rules = queue(0);
     rules.advice = Some(AdviceSpec { decide_ms: 10.0, each_ms: 1.0, valid_ms: 2_000 });
     world.submit(0, job(rules.clone(), vec![step(2, 1_000, 300)]));
     world.run(20);
-    assert_eq!(world.asked, 100, "all of them while nothing else waits");
+    assert_eq!(world.last_query_workers, 100, "all workers while no other query waits");
     for number in 1..60 {
         world.submit(number, job(rules.clone(), vec![step(2, 1_000, 300)]));
     }
     world.run(20);
-    assert!(world.asked <= 12, "{}", world.asked);
-    assert_kept(&world);
+    assert!(world.last_query_workers <= 12, "{}", world.last_query_workers);
+    assert_no_violations(&world);
 }
 
-/// Tasks of a step take longer on several racks than on one, and the tightest fit
-/// would spread them. They go to one rack as long as one has room for all; a packet
-/// would otherwise take twice as long.
+/// The tasks of a step take twice as long on several racks, and a choice of the tightest fit
+/// would spread them. Guards against that: they have to be placed on one rack as long as one
+/// has capacity for all of them.
 #[test]
-fn tasks_that_belong_together_stay_on_one_rack() {
+fn tasks_of_a_same_rack_step_stay_on_one_rack() {
     let mut world = World::new(19, 12, Faults::default());
     for (number, worker) in world.workers.values_mut().enumerate() {
         worker.rack = ["r1", "r2", "r3"][number % 3];
     }
     world.list_all();
     world.run(100);
-    // Something on each worker, so that the fits differ.
+    // A different load on each worker, so that the tightest fit differs from the same rack.
     for number in 0..12 {
         world.submit(number, job(queue(1), vec![step(1, 1_000 + 500 * number, 60_000)]));
     }
     world.run(200);
-    let mut together = job(queue(1), vec![step(8, 2_500, 1_000)]);
-    together.steps[0].same_rack = true;
-    world.submit(100, together);
+    let mut same_rack = job(queue(1), vec![step(8, 2_500, 1_000)]);
+    same_rack.steps[0].same_rack = true;
+    world.submit(100, same_rack);
     world.run(150);
     let mut racks = BTreeSet::new();
     for worker in world.workers.values() {
@@ -199,14 +196,14 @@
         }
     }
     assert_eq!(racks.len(), 1, "{racks:?}");
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// A caller's gang says that it needs nothing, and no more than one task on a worker,
-/// of which there are too few. It waits, and everything else goes on; the scheduler
-/// would otherwise count places without end and die with every start.
+/// A gang demands no resources and at most one task per worker, and there are too few
+/// workers. Guards against a scheduler that counts places without end and crashes again at
+/// every restart: the gang has to wait while other jobs run.
 #[test]
-fn a_gang_that_needs_nothing_and_finds_no_workers_harms_nobody() {
+fn a_gang_without_demand_and_with_too_few_workers_blocks_no_other_job() {
     let mut world = World::new(37, 2, Faults::default());
     world.run(100);
     let mut rules = queue(1);
@@ -223,14 +220,14 @@
     world.run(2_000);
     assert_eq!(world.state(3), Some(JobState::Completed));
     assert_eq!(world.state(1), Some(JobState::Queued));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// A wide gang waits for room that comes free in seconds, and meanwhile most of what is
-/// kept for it stands empty. Work that is over before the gang could start uses it;
-/// what takes longer does not, or the packet for a hearing would come late.
+/// A wide gang waits for capacity that becomes free within seconds, while most of what is
+/// reserved for it is idle. Tasks that end before the gang could start have to use
+/// it. Longer ones must not, as they would delay the gang.
 #[test]
-fn short_work_uses_the_room_that_waits_for_a_gang() {
+fn short_tasks_use_capacity_reserved_for_a_gang() {
     let mut world = World::new(41, 2, Faults::default());
     world.run(100);
     for number in 0..2 {
@@ -251,13 +248,14 @@
     assert_eq!(world.state(10), Some(JobState::Queued));
     world.run(12_000);
     assert_eq!(world.state(10), Some(JobState::Completed), "{}", world.explain(JobId(10)));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// The store is away for seconds while starts wait for their rows. Their tickets are old
-/// when it is back, and the workers would turn all of them away at the busiest moment.
+/// The store is unavailable for seconds while starts wait for their rows. Guards against
+/// starts that all carry expired tickets when it is back and are refused at the busiest
+/// moment.
 #[test]
-fn starts_that_waited_for_the_store_show_no_old_tickets() {
+fn starts_that_waited_for_the_store_carry_no_expired_tickets() {
     let mut world = World::new(47, 12, Faults::default());
     world.tickets_expire = true;
     world.run(100);
@@ -272,17 +270,17 @@
     world.run(10_000);
     assert!(world.open_jobs().is_empty(), "{} jobs are open", world.open_jobs().len());
     assert_eq!(world.bad_tickets, 0, "of {} starts", world.starts);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// Guards against a gang that learns of a tenth of its workers a second and finds no room
-/// among them, in a pool of hundreds with room for it.
+/// Guards against a gang that gets answers about a tenth of the workers per second and finds
+/// no capacity among them, in a pool of hundreds of workers with capacity for it.
 #[test]
-fn a_gang_learns_at_once_where_it_may_run_in_a_large_pool() {
+fn a_gang_gets_enough_grants_at_once_in_a_large_pool() {
     let mut world = World::new(17, 600, Faults::default());
     world.granted_of_five = 1;
     world.advice_ms = 900;
-    world.set_advisors(140);
+    world.set_advisor_daemons(140);
     world.run(100);
     for number in 0..600 {
         world.submit(number, job(queue(2), vec![step(2, 6_000, 40_000)]));
@@ -295,11 +293,11 @@
     world.submit(1_000, gang);
     world.run(1_300);
     assert_eq!(world.state(1_000), Some(JobState::Running), "{}", world.explain(JobId(1_000)));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// Guards against room that stands idle for gangs which would soon find it anyway, among
-/// many times the places that they need.
+/// Guards against capacity that is reserved and idle for gangs that would find places soon
+/// anyway, as there are many times the places that they need.
 #[test]
 fn a_gang_that_is_narrow_for_its_workers_reserves_nothing() {
     let mut world = World::new(19, 200, Faults::default());
@@ -313,11 +311,11 @@
     world.submit(3, job(queue(2), vec![step(200, 6_000, 40_000)]));
     world.run(1_000);
     assert_eq!(world.starts, 400);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// Guards against tickets that grow old while they wait for a leader with a backlog and
-/// count as new when it handles them: workers would turn their starts away.
+/// Guards against tickets that wait for a leader with a backlog and count as new when it
+/// handles them: workers would refuse their starts as expired.
 #[test]
 fn tickets_age_while_they_wait_to_be_handled() {
     let mut world = World::new(53, 12, Faults::default());
@@ -334,5 +332,5 @@
     world.run(8_000);
     assert!(world.open_jobs().is_empty(), "{} jobs are open", world.open_jobs().len());
     assert_eq!(world.bad_tickets, 0, "of {} starts", world.starts);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
--- a/crates/pool/tests/lines.rs
+++ b/crates/pool/tests/log_lines.rs
@@ -1,4 +1,4 @@
-//! The log lines of decisions, by their fields.
+//! The fields of the log lines about scheduling decisions.
 
 mod world;
 
@@ -17,9 +17,9 @@
 use self::world::step;
 
 #[derive(Clone, Default)]
-struct Written(Arc<Mutex<Vec<u8>>>);
+struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Written {
+impl Write for LogBuffer {
     fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
         self.0.lock().expect("no panic").extend_from_slice(buf);
         Ok(buf.len())
@@ -30,7 +30,7 @@
     }
 }
 
-impl<'a> MakeWriter<'a> for Written {
+impl<'a> MakeWriter<'a> for LogBuffer {
     type Writer = Self;
 
     fn make_writer(&'a self) -> Self {
@@ -38,18 +38,18 @@
     }
 }
 
-/// Every line that is written while `play` runs.
-fn lines(play: impl FnOnce()) -> Vec<Value> {
-    let written = Written::default();
+/// Returns every log line that is written while `scenario` runs.
+fn log_lines(scenario: impl FnOnce()) -> Vec<Value> {
+    let buffer = LogBuffer::default();
     let subscriber =
-        tracing_subscriber::fmt().json().flatten_event(true).with_writer(written.clone()).finish();
-    tracing::subscriber::with_default(subscriber, play);
-    let bytes = written.0.lock().expect("no panic");
+        tracing_subscriber::fmt().json().flatten_event(true).with_writer(buffer.clone()).finish();
+    tracing::subscriber::with_default(subscriber, scenario);
+    let bytes = buffer.0.lock().expect("no panic");
     let text = String::from_utf8(bytes.clone()).expect("UTF-8");
     text.lines().map(|line| serde_json::from_str(line).expect("JSON")).collect()
 }
 
-/// The fields of the first line with this message, but for those that each line has.
+/// Returns the fields of the first line with this message, without those that every line has.
 fn fields(lines: &[Value], message: &str) -> BTreeSet<String> {
     let line = lines.iter().find(|line| line["message"] == message);
     let line = line.unwrap_or_else(|| panic!("no line {message:?}"));
@@ -63,11 +63,11 @@
     assert_eq!(fields(lines, message), wanted, "{message}");
 }
 
-/// On call there are only logs. Each decision on a job's way says what it was made
-/// of; with a field missing, a late job could not be told from a lost one.
+/// Operators on call have only the logs. Guards against a missing field in the lines about a
+/// job, without which a late job could not be told from a lost one.
 #[test]
-fn a_jobs_way_can_be_read_from_its_lines() {
-    let lines = lines(|| {
+fn the_progress_of_a_job_is_logged() {
+    let lines = log_lines(|| {
         let mut world = World::new(3, 3, Faults::default());
         world.run(200);
         world.submit(1, job(queue(1), vec![step(2, 2_000, 300)]));
@@ -80,16 +80,16 @@
     assert_fields(&lines, "job accepted", &["job", "queue"]);
     assert_fields(&lines, "run placed", &["task", "run", "worker", "left_cpu_millis"]);
     assert_fields(&lines, "run ended", &["task", "run", "worker", "end", "took_ms"]);
-    let settled = ["job", "queue", "outcome", "took_ms", "allowed_ms"];
-    assert_fields(&lines, "job finished", &settled);
+    let finished_fields = ["job", "queue", "outcome", "took_ms", "allowed_ms"];
+    assert_fields(&lines, "job finished", &finished_fields);
     assert_fields(&lines, "job cancelled", &["job"]);
 }
 
-/// The same for what is believed of workers: a run that came again has its cause
-/// in these lines.
+/// Guards against a missing field in the lines about workers, which give the cause when a
+/// task is run again.
 #[test]
-fn what_happens_to_workers_can_be_read_from_lines() {
-    let lines = lines(|| {
+fn the_states_of_workers_are_logged() {
+    let lines = log_lines(|| {
         let mut world = World::new(3, 3, Faults { lost_answers: 300, ..Faults::default() });
         world.run(200);
         world.submit(1, job(queue(1), vec![step(6, 2_000, 2_000)]));
@@ -99,7 +99,7 @@
         world.run(500);
         let names: Vec<_> = world.workers.keys().cloned().collect();
         world.crash(&names[0]);
-        world.cut(&names[1], 60_000);
+        world.isolate(&names[1], 60_000);
         world.run(9_000);
     });
     assert_fields(&lines, "worker listed", &["worker", "address"]);
--- a/crates/pool/tests/pace.rs
+++ b/crates/pool/tests/pace.rs
@@ -1,4 +1,4 @@
-//! Tasks that fill beside tasks that serve users.
+//! Throttling of best-effort tasks beside latency-sensitive ones.
 
 mod world;
 
@@ -10,53 +10,56 @@
 use self::world::queue;
 use self::world::step;
 
-/// One worker with a task that serves and three that fill, which have just begun.
-fn serving_beside_fillers(seed: u64) -> World {
+/// One worker with a latency-sensitive task and three best-effort tasks that have just
+/// started.
+fn latency_sensitive_beside_best_effort(seed: u64) -> World {
     let mut world = World::new(seed, 1, Faults::default());
     world.run(100);
-    let serving =
+    let latency_sensitive =
         StepSpec { long_running: true, response_target_ms: Some(100), ..step(1, 4_000, 600_000) };
-    world.submit(1, job(queue(0), vec![serving]));
-    let filling = StepSpec { fills: true, ..step(3, 2_000, 120_000) };
-    world.submit(2, job(queue(2), vec![filling]));
+    world.submit(1, job(queue(0), vec![latency_sensitive]));
+    let best_effort = StepSpec { fills: true, ..step(3, 2_000, 120_000) };
+    world.submit(2, job(queue(2), vec![best_effort]));
     world.run(400);
-    assert_eq!(world.filling_percent(), 300, "they begin at full pace");
+    assert_eq!(world.best_effort_pace_percent(), 300, "best-effort tasks start at full pace");
     world
 }
 
-/// Three fillers at full pace make a serving task three times as slow as its users
-/// expect. The fillers are slowed before a second or two have passed; users of the
-/// service would otherwise wait for as long as the batch beside it runs.
+/// Three best-effort tasks at full pace raise the response time of a latency-sensitive task
+/// to three times its target. Guards against a service that is slow for as long as the batch beside
+/// it runs: the tasks have to be throttled within about two seconds.
 #[test]
-fn fillers_make_way_for_a_task_that_serves() {
-    let mut world = serving_beside_fillers(23);
+fn best_effort_tasks_yield_to_a_latency_sensitive_task() {
+    let mut world = latency_sensitive_beside_best_effort(23);
     world.run(2_200);
-    assert!(world.filling_percent() < 100, "{}", world.filling_percent());
+    assert!(world.best_effort_pace_percent() < 100, "{}", world.best_effort_pace_percent());
     world.run(5_000);
-    assert_eq!(world.starts, 4, "what is slowed on purpose does not count as held up");
-    assert!(world.broken.is_empty(), "{:?}", world.broken.first());
+    assert_eq!(world.starts, 4, "a throttled task does not count as stalled");
+    assert!(world.violations.is_empty(), "{:?}", world.violations.first());
 }
 
-/// The order that slows a filler gets lost. It is given again with the next report;
-/// the service would otherwise stay slow, since the scheduler believes it was heard.
+/// Guards against a service that stays slow because the call that throttles a best-effort
+/// task was lost and the scheduler assumes that it arrived: the call has to be repeated with
+/// the next report.
 #[test]
-fn a_pace_that_was_not_answered_is_set_again() {
-    let mut world = serving_beside_fillers(29);
+fn an_unanswered_pace_call_is_repeated() {
+    let mut world = latency_sensitive_beside_best_effort(29);
     world.faults.lost_calls = 400;
     world.run(6_000);
     world.faults = Faults::default();
     world.run(6_000);
-    assert!(world.filling_percent() < 100, "{}", world.filling_percent());
-    assert!(world.broken.is_empty(), "{:?}", world.broken.first());
+    assert!(world.best_effort_pace_percent() < 100, "{}", world.best_effort_pace_percent());
+    assert!(world.violations.is_empty(), "{:?}", world.violations.first());
 }
 
-/// Nothing serves beside the fillers, and they work at full pace.
+/// Guards against best-effort tasks that are throttled without a latency-sensitive task on
+/// their worker.
 #[test]
-fn fillers_alone_are_not_slowed() {
+fn best_effort_tasks_alone_are_not_throttled() {
     let mut world = World::new(31, 1, Faults::default());
     world.run(100);
-    let filling = StepSpec { fills: true, ..step(3, 2_000, 60_000) };
-    world.submit(2, job(queue(2), vec![filling]));
+    let best_effort = StepSpec { fills: true, ..step(3, 2_000, 60_000) };
+    world.submit(2, job(queue(2), vec![best_effort]));
     world.run(4_000);
-    assert_eq!(world.filling_percent(), 300);
+    assert_eq!(world.best_effort_pace_percent(), 300);
 }
--- a/crates/pool/tests/record.rs
+++ b/crates/pool/tests/record.rs
@@ -10,8 +10,8 @@
 }
 
 #[test]
-fn a_row_reads_back_as_it_was() {
-    let at = |worker: &str, incarnation| TaskProgress {
+fn a_row_survives_a_round_trip() {
+    let placed = |worker: &str, incarnation| TaskProgress {
         worker: Some(WorkerId::new(worker)),
         address: "10.0.0.1:80".to_owned(),
         incarnation,
@@ -22,15 +22,15 @@
     let progress = Progress {
         outcome: Some(Outcome::Failed),
         finished_unix_ms: 7,
-        tasks: vec![done, at("i-1", 3), at("i-1", 4), at("i-2", 3), task(1, 0)],
+        tasks: vec![done, placed("i-1", 3), placed("i-1", 4), placed("i-2", 3), task(1, 0)],
     };
     let text = serde_json::to_string(&progress).expect("written");
     assert_eq!(serde_json::from_str::<Progress>(&text).expect("read"), progress);
 }
 
-/// A job of 25 tasks at work is written some fifty times. A row of it stays
-/// under 1.8 KB, a finished one under 0.6 KB: with 500 such jobs at work the
-/// scheduler's link would be full of rows otherwise.
+/// The row of a job of 25 running tasks is written some fifty times. Guards against a link
+/// of the scheduler that is saturated by rows with 500 such jobs running: a row has to stay
+/// under 1.8 KB, that of a finished job under 0.6 KB.
 #[test]
 fn rows_are_short() {
     let mut progress = Progress::default();
@@ -42,10 +42,10 @@
             ..task(0, index)
         });
     }
-    let at_work = serde_json::to_string(&progress).expect("written").len();
-    for one in &mut progress.tasks {
-        *one = TaskProgress { done: true, ..task(0, one.index) };
+    let running = serde_json::to_string(&progress).expect("written").len();
+    for task_progress in &mut progress.tasks {
+        *task_progress = TaskProgress { done: true, ..task(0, task_progress.index) };
     }
     let finished = serde_json::to_string(&progress).expect("written").len();
-    assert!(at_work < 1_800 && finished < 600, "{at_work} and {finished} bytes");
+    assert!(running < 1_800 && finished < 600, "{running} and {finished} bytes");
 }
--- a/crates/pool/tests/submissions.rs
+++ b/crates/pool/tests/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions that the scheduler makes durable itself.
+//! Submissions that the scheduler itself makes durable.
 
 mod world;
 
@@ -13,107 +13,107 @@
 use self::world::queue;
 use self::world::step;
 
-/// A day that has just begun, with its workers held.
-fn begun(seed: u64) -> World {
+/// A simulation whose scheduler has established the holds of its workers.
+fn ready_world(seed: u64) -> World {
     let mut world = World::new(seed, 12, Faults::default());
     world.run(200);
     world
 }
 
-fn short() -> stoatwell_pool::JobSpec {
+fn short_job() -> stoatwell_pool::JobSpec {
     job(queue(0), vec![step(2, 1_000, 200)])
 }
 
-/// Guards against a caller that is told of a job which is not durable yet.
+/// Guards against a caller that is told that a job is accepted before it is durable.
 #[test]
 fn a_submission_is_accepted_once_it_is_durable() {
-    let mut world = begun(1);
+    let mut world = ready_world(1);
     world.commit_ms = 60;
-    world.hand_in(1, short());
+    world.submit_via_scheduler(1, short_job());
     world.run(40);
-    assert_eq!(world.answer(1), None);
+    assert_eq!(world.submission_result(1), None);
     assert_eq!(world.starts, 0);
     world.run(100);
-    assert_eq!(world.answer(1), Some(Accepted::Yes));
+    assert_eq!(world.submission_result(1), Some(Accepted::Yes));
     world.run(1_000);
     assert_eq!(world.state(1), Some(JobState::Completed));
 }
 
-/// Guards against a second write where a submission and its first start can share one.
+/// Guards against two writes where a submission and its first start can share one.
 #[test]
-fn a_submission_and_its_first_start_are_one_write() {
-    let mut world = begun(2);
-    let mut spec = short();
+fn a_submission_and_its_first_start_share_a_write() {
+    let mut world = ready_world(2);
+    let mut spec = short_job();
     spec.queue.advice = Some(AdviceSpec { decide_ms: 5.0, each_ms: 0.1, valid_ms: 2_000 });
     world.advice_ms = 20;
     world.batches = 0;
-    world.hand_in(1, spec);
+    world.submit_via_scheduler(1, spec);
     world.run(60);
     assert_eq!(world.batches, 1);
     assert_eq!(world.starts, 2);
 }
 
-/// Guards against jobs that run twice, or not at all, because their caller sent them again.
+/// Guards against jobs that run twice, or not at all, because the caller submitted them again.
 #[test]
-fn the_same_submission_again_is_one_job() {
-    let mut world = begun(3);
-    world.hand_in(1, short());
-    world.hand_in(1, short());
+fn a_repeated_submission_is_one_job() {
+    let mut world = ready_world(3);
+    world.submit_via_scheduler(1, short_job());
+    world.submit_via_scheduler(1, short_job());
     world.run(100);
-    world.hand_in(1, short());
-    assert_eq!(world.answer(1), Some(Accepted::Yes));
+    world.submit_via_scheduler(1, short_job());
+    assert_eq!(world.submission_result(1), Some(Accepted::Yes));
     world.run(2_000);
     assert_eq!(world.starts, 2);
-    assert!(world.broken.is_empty(), "{:?}", world.broken.first());
+    assert!(world.violations.is_empty(), "{:?}", world.violations.first());
 }
 
-/// Guards against an outage of some parts of the store that holds up the jobs of the others.
+/// Guards against an outage of some partitions of the store that delays the jobs of the others.
 #[test]
-fn parts_of_a_store_that_fail_hold_up_only_their_own_jobs() {
-    let mut world = begun(4);
-    world.stuck_parts = (0..8).collect();
+fn failed_partitions_delay_only_their_own_jobs() {
+    let mut world = ready_world(4);
+    world.stuck_partitions = (0..8).collect();
     let mut number = 0;
     for _ in 0..40 {
         for _ in 0..5 {
             number += 1;
-            world.hand_in(number, short());
+            world.submit_via_scheduler(number, short_job());
         }
         world.run(50);
     }
     world.run(1_000);
     for number in 1..=number {
-        let stuck = world.stuck_parts.contains(&JobId(number).partition());
-        let over = world.state(number) == Some(JobState::Completed);
-        assert_eq!(over, !stuck, "{number}");
+        let stuck = world.stuck_partitions.contains(&JobId(number).partition());
+        let is_completed = world.state(number) == Some(JobState::Completed);
+        assert_eq!(is_completed, !stuck, "{number}");
     }
 }
 
-/// Guards against callers that wait until their time is up for a part that does not answer.
+/// Guards against callers that wait until their timeout for a partition that does not answer.
 #[test]
-fn what_waits_behind_a_stuck_part_is_refused() {
-    let mut world = begun(5);
-    let mut same_part = (1..).filter(|number| JobId(*number).partition() == 3);
+fn submissions_queued_for_a_stuck_partition_are_refused() {
+    let mut world = ready_world(5);
+    let mut ids = (1..).filter(|number| JobId(*number).partition() == 3);
     let (first, second, third) =
-        (same_part.next().expect("one"), same_part.next().expect("one"), same_part.next());
-    let third = third.expect("one");
-    world.stuck_parts.insert(3);
-    world.hand_in(first, short());
+        (ids.next().expect("an ID"), ids.next().expect("an ID"), ids.next());
+    let third = third.expect("an ID");
+    world.stuck_partitions.insert(3);
+    world.submit_via_scheduler(first, short_job());
     world.run(100);
-    world.hand_in(second, short());
+    world.submit_via_scheduler(second, short_job());
     world.run(600);
-    world.hand_in(third, short());
-    assert_eq!(world.answer(first), None);
-    assert_eq!(world.answer(second), Some(Accepted::No));
-    assert_eq!(world.answer(third), Some(Accepted::No));
+    world.submit_via_scheduler(third, short_job());
+    assert_eq!(world.submission_result(first), None);
+    assert_eq!(world.submission_result(second), Some(Accepted::No));
+    assert_eq!(world.submission_result(third), Some(Accepted::No));
     assert_eq!(world.state(second), None);
     world.run(3_000);
     assert_eq!(world.starts, 0);
 }
 
-/// Guards against a burst in a slow store whose batches go one after the other: starts
-/// would fall further and further behind.
+/// Guards against a slow store whose batches are written one after the other: in a burst,
+/// starts would fall further and further behind.
 #[test]
-fn a_burst_in_a_slow_store_is_worked_off() {
+fn a_burst_does_not_build_up_a_backlog_in_a_slow_store() {
     let mut world = World::new(6, 60, Faults::default());
     world.run(200);
     world.commit_ms = 250;
@@ -121,29 +121,31 @@
     for _ in 0..40 {
         for _ in 0..18 {
             number += 1;
-            world.hand_in(number, job(queue(0), vec![step(1, 500, 300)]));
+            world.submit_via_scheduler(number, job(queue(0), vec![step(1, 500, 300)]));
         }
         world.run(100);
     }
-    // The last ones came just now; half a second for each of two writes and the work.
+    // The last jobs were submitted just now; this leaves half a second for each of two writes
+    // and for the work.
     world.run(1_500);
-    let over = (1..=number).filter(|one| world.state(*one) == Some(JobState::Completed)).count();
-    assert!(over as u64 >= number * 97 / 100, "{over} of {number}");
-    assert!(world.broken.is_empty(), "{:?}", world.broken.first());
+    let completed = (1..=number).filter(|id| world.state(*id) == Some(JobState::Completed)).count();
+    assert!(completed as u64 >= number * 97 / 100, "{completed} of {number}");
+    assert!(world.violations.is_empty(), "{:?}", world.violations.first());
 }
 
-/// Guards against a start on a worker that began to leave while the start's row was written.
+/// Guards against a start on a worker that announced that it will leave while the row of the
+/// start was being written.
 #[test]
-fn a_worker_that_leaves_gets_no_start_that_was_recorded_before() {
+fn a_draining_worker_gets_no_start_recorded_before() {
     let mut world = World::new(8, 2, Faults::default());
     world.run(200);
     world.commit_ms = 3_000;
-    world.hand_in(1, short());
+    world.submit_via_scheduler(1, short_job());
     world.run(100);
     for name in world.workers.keys().cloned().collect::<Vec<_>>() {
         world.drain(&name);
     }
     world.run(4_000);
-    assert_eq!(world.answer(1), Some(Accepted::Yes));
+    assert_eq!(world.submission_result(1), Some(Accepted::Yes));
     assert_eq!(world.starts, 0);
 }
--- a/crates/pool/tests/unanswered.rs
+++ b/crates/pool/tests/unanswered.rs
@@ -1,4 +1,4 @@
-//! Calls whose answers never reach the pool.
+//! Calls to workers whose answers never reach the pool or name another worker.
 
 use std::sync::Arc;
 
@@ -59,12 +59,12 @@
     }
 }
 
-/// The answer to a start gets lost on its way to the pool, within the daemon. The task
-/// would keep its room and its job for ever, with all workers free. After a time in
-/// which every call has come to something the start is in doubt, like one that brought
-/// no answer, and the task starts again once it is surely not there.
+/// The result of a start is lost within the daemon, on its way to the pool. Guards against a
+/// task that keeps its capacity and never runs: after a time in which every call has had a
+/// result, the start counts as one without an answer, and the task starts again once it is
+/// certain that the worker does not run it.
 #[test]
-fn a_start_without_any_answer_is_made_again() {
+fn a_start_without_any_result_is_repeated() {
     let mut pool = Pool::new(Election { epoch: 1, earlier_extends_ms: 0 }, LIMITS, 1_000, 1_000);
     pool.handle(1_000, 1_000, Event::Listed(worker()));
     pool.handle(1_000, 1_000, Event::Accepted { job: JobId(1), spec: Arc::new(job()) });
@@ -98,12 +98,11 @@
     assert!(starts > 1, "the task was started {starts} times");
 }
 
-/// A worker is replaced, and its successor has its address while the old entry is still
-/// listed. Each hold of the old one tells that another one answers there. That is acted
-/// on once; holds without end, each with a line in the log, would hide what matters from
-/// those on call and cost calls.
+/// A worker is replaced by another one at the same address while its entry is still listed,
+/// and each of its holds is answered by the other one. Guards against a stream of holds,
+/// each with a log line that hides others from operators: the pool has to hold it rarely.
 #[test]
-fn a_worker_whose_address_serves_another_is_asked_rarely() {
+fn a_worker_whose_address_another_one_uses_is_held_rarely() {
     let mut pool = Pool::new(Election { epoch: 1, earlier_extends_ms: 0 }, LIMITS, 1_000, 1_000);
     pool.handle(1_000, 1_000, Event::Listed(worker()));
     let mut holds = 0;
@@ -119,32 +118,32 @@
     assert!(holds < 15, "{holds} holds");
 }
 
-/// Guards against batches that fill a narrow link for seconds, with the renewal of the
-/// leader's lease behind them.
+/// Guards against batches that occupy a slow link for seconds and delay the renewal of the
+/// leader lease, which is sent after them.
 #[test]
-fn a_batch_holds_no_more_than_the_link_carries_in_time() {
+fn the_size_of_a_batch_is_limited() {
     let limits = Limits { batch_bytes_max: 1_000, ..LIMITS };
     let mut pool = Pool::new(Election { epoch: 1, earlier_extends_ms: 0 }, limits, 1_000, 1_000);
-    let mut idle = job();
-    idle.steps[0].tasks = 10;
+    let mut spec = job();
+    spec.steps[0].tasks = 10;
     for number in 0..20 {
-        let spec = Arc::new(idle.clone());
+        let spec = Arc::new(spec.clone());
         pool.handle(1_000, 1_000, Event::Accepted { job: JobId(number), spec });
         pool.handle(1_000, 1_000, Event::Cancelled { job: JobId(number) });
     }
-    let mut written = 0;
+    let mut written_rows = 0;
     let mut batches = 0;
-    for turn in 1..200 {
-        let now_ms = 1_000 + turn;
+    for elapsed_ms in 1..200 {
+        let now_ms = 1_000 + elapsed_ms;
         for effect in pool.poll_effects(now_ms, now_ms) {
             let Effect::Commit { batch, writes } = effect else { continue };
             batches += 1;
             for write in writes {
-                written += write.puts.len();
+                written_rows += write.puts.len();
                 pool.handle(now_ms, now_ms, Event::Committed { batch, partition: write.partition });
             }
         }
     }
-    assert_eq!(written, 20);
+    assert_eq!(written_rows, 20);
     assert!(batches >= 2, "{batches} batches");
 }
--- a/crates/pool/tests/world/jobs.rs
+++ b/crates/pool/tests/world/jobs.rs
@@ -1,11 +1,11 @@
-//! Jobs as tests hand them in.
+//! Builders for the jobs that tests submit.
 
 use stoatwell_model::Resources;
 use stoatwell_pool::JobSpec;
 use stoatwell_pool::QueueSpec;
 use stoatwell_pool::StepSpec;
 
-/// A queue without an advisor.
+/// A queue whose tasks need no tickets from the advisor.
 pub fn queue(priority: u32) -> QueueSpec {
     QueueSpec {
         name: format!("q{priority}"),
@@ -18,7 +18,7 @@
     }
 }
 
-/// A job of the given steps.
+/// A job without a customer that runs once.
 pub fn job(queue: QueueSpec, steps: Vec<StepSpec>) -> JobSpec {
     JobSpec {
         queue,
@@ -30,7 +30,7 @@
     }
 }
 
-/// A step of tasks that need this many thousandths of a core.
+/// A step of independent tasks with 1 MiB of memory each.
 pub fn step(tasks: u32, cpu_millis: u64, estimate_ms: u64) -> StepSpec {
     let demand = Resources { cpu_millis, memory_bytes: 1 << 20, accelerators: 0 };
     StepSpec { tasks, demand, estimate_ms, ..StepSpec::default() }
--- a/crates/pool/tests/world/mod.rs
+++ b/crates/pool/tests/world/mod.rs
@@ -1,12 +1,12 @@
-//! A pool with workers, a store and a network, in virtual time.
+//! A simulation of a pool with its workers, store and network, in virtual time.
 //!
-//! Everything that can go wrong between a scheduler and its workers goes wrong
-//! by a seeded draw: calls and answers are lost or come seconds later, workers
-//! crash, are cut off and begin new lives, schedulers are replaced while their
-//! orders are still under way. The world watches what the workers do and
-//! remembers each promise that is broken.
+//! Faults between the scheduler and its workers are injected at random from a seed: calls
+//! and answers are lost or delayed by seconds, workers crash, become unreachable and
+//! restart as new incarnations, and the scheduler is replaced while its calls are still in
+//! flight. The simulation checks what the workers do and records every violation of an
+//! invariant.
 
-#![allow(dead_code, reason = "each test file uses a part of the world")]
+#![allow(dead_code, reason = "each test file uses a part of the simulation")]
 
 mod checks;
 mod faults;
@@ -49,64 +49,64 @@
 use self::worker::Reply;
 use self::worker::Worker;
 
-/// The lease that schedulers ask for, and the longest that workers grant.
+/// The length of the leases that schedulers request, and the longest that workers grant.
 pub const LEASE_MS: u64 = 6_000;
 
-/// One day of a pool.
+/// The simulation of one pool.
 pub struct World {
     pub now_ms: u64,
     pub rng: Pcg64,
     pub faults: Faults,
     pub workers: BTreeMap<WorkerId, Worker>,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub starts: u64,
-    /// Workers that are up but on nobody's list.
+    /// Workers that are up but missing from the list that the scheduler gets.
     pub unlisted: BTreeSet<WorkerId>,
-    /// Of five workers, the advisor permits about this many.
+    /// The advisor grants about this many of five workers.
     pub granted_of_five: u64,
-    /// Workers that the newest question to the advisor named.
-    pub asked: usize,
-    /// What the advisor takes for a question.
+    /// The number of workers that the latest query to the advisor named.
+    pub last_query_workers: usize,
+    /// How long the advisor takes to answer a query.
     pub advice_ms: u64,
-    /// How long the advisor's answers wait to be handled.
+    /// How long the advisor's answers wait before the scheduler handles them.
     pub backlog_ms: u64,
-    /// What the store takes for a batch.
+    /// How long the store takes to write a batch.
     pub commit_ms: u64,
-    /// Whether workers refuse starts with tickets that have expired.
+    /// Whether workers refuse starts with expired tickets.
     pub tickets_expire: bool,
-    /// Starts that were refused for that.
+    /// The number of starts that were refused because of an expired ticket.
     pub bad_tickets: u64,
-    /// Whether the scheduler can renew its duty.
-    pub renews: bool,
-    /// Parts of the store that answer nothing.
-    pub stuck_parts: BTreeSet<usize>,
-    /// Batches sent to the store.
+    /// Whether the scheduler's daemon can renew the leader lease. Without it nothing is written.
+    pub can_renew_lease: bool,
+    /// Partitions of the store that never answer.
+    pub stuck_partitions: BTreeSet<usize>,
+    /// The number of batches sent to the store.
     pub batches: u64,
-    answers: BTreeMap<JobId, Accepted>,
+    submission_results: BTreeMap<JobId, Accepted>,
     /// The customers of the manifest.
     pub customers: BTreeMap<CustomerName, CustomerLimits>,
-    /// Their caps on processors, with the moments from which they held.
+    /// Each customer's CPU caps, with the times from which they were in force.
     caps: BTreeMap<CustomerName, Vec<(u64, u64)>>,
     pool: Pool,
     epoch: u64,
     jobs: BTreeMap<JobId, Arc<JobSpec>>,
     progress: BTreeMap<JobId, Progress>,
     cancelled: BTreeMap<JobId, u64>,
-    /// Tasks whose end as done a worker was told to forget.
-    noted_done: BTreeSet<TaskId>,
-    agenda: BTreeMap<(u64, u64), Item>,
-    items: u64,
+    /// Tasks whose completion the scheduler has acknowledged to their worker.
+    acknowledged_done: BTreeSet<TaskId>,
+    timeline: BTreeMap<(u64, u64), TimedEvent>,
+    last_sequence: u64,
 }
 
-enum Item {
-    /// A call arrives at the life of a worker that it was sent to; the answer
-    /// goes back unless it is lost.
-    Arrives { epoch: u64, incarnation: u64, call: Call, answered: bool },
-    /// Message reach the scheduler of this epoch.
+enum TimedEvent {
+    /// A call arrives at the incarnation of a worker that it was sent to; `answered` is
+    /// false if its answer is lost.
+    CallArrives { epoch: u64, incarnation: u64, call: Call, answered: bool },
+    /// An event for the scheduler of this epoch; dropped if another one leads by then.
     Event(u64, Event),
-    /// A worker is reached again.
-    Healed(WorkerId),
-    /// A worker that crashed is listed again.
+    /// A worker becomes reachable again.
+    Reachable(WorkerId),
+    /// A worker that crashed is up and listed again.
     Listed(WorkerId),
 }
 
@@ -118,20 +118,20 @@
             rng: Pcg64::seed_from_u64(seed),
             faults,
             workers: BTreeMap::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             starts: 0,
             unlisted: BTreeSet::new(),
             granted_of_five: 3,
-            asked: 0,
+            last_query_workers: 0,
             advice_ms: 80,
             backlog_ms: 0,
             commit_ms: 12,
             tickets_expire: false,
             bad_tickets: 0,
-            renews: true,
-            stuck_parts: BTreeSet::new(),
+            can_renew_lease: true,
+            stuck_partitions: BTreeSet::new(),
             batches: 0,
-            answers: BTreeMap::new(),
+            submission_results: BTreeMap::new(),
             customers: BTreeMap::new(),
             caps: BTreeMap::new(),
             pool: Pool::new(elected(1), limits(), 1_000, 1_000),
@@ -139,26 +139,26 @@
             jobs: BTreeMap::new(),
             progress: BTreeMap::new(),
             cancelled: BTreeMap::new(),
-            noted_done: BTreeSet::new(),
-            agenda: BTreeMap::new(),
-            items: 0,
+            acknowledged_done: BTreeSet::new(),
+            timeline: BTreeMap::new(),
+            last_sequence: 0,
         };
         for number in 0..workers {
             let name = WorkerId::new(format!("w{number:02}"));
-            let slow_permille = world.rng.random_range(0..20);
-            world.workers.insert(name.clone(), Worker::new(name, slow_permille));
+            let clock_slow_permille = world.rng.random_range(0..20);
+            world.workers.insert(name.clone(), Worker::new(name, clock_slow_permille));
         }
         world.list_all();
         world
     }
 
-    /// The manifest gives a customer this cap from now on.
+    /// Sets a customer's cap in the manifest and notifies the scheduler.
     pub fn set_cap(&mut self, customer: &CustomerName, weight: f64, cap: Resources) {
         self.write_cap(customer, weight, cap);
         self.notify_customers();
     }
 
-    /// The same, but the scheduler does not learn it.
+    /// Sets a customer's cap in the manifest without notifying the scheduler.
     pub fn write_cap(&mut self, customer: &CustomerName, weight: f64, cap: Resources) {
         let limits = CustomerLimits { name: customer.clone(), weight, cap };
         self.customers.insert(customer.clone(), limits);
@@ -172,107 +172,108 @@
         self.notify(Event::Customers { limits });
     }
 
-    /// Hands a job in.
+    /// Notifies the scheduler of a job that is durable already.
     pub fn submit(&mut self, id: u64, spec: JobSpec) {
         let (job, spec) = (JobId(id), Arc::new(spec));
         self.jobs.insert(job, Arc::clone(&spec));
         self.notify(Event::Accepted { job, spec });
     }
 
-    /// Hands a job in through the scheduler, which has to make it durable.
-    pub fn hand_in(&mut self, id: u64, spec: JobSpec) {
+    /// Submits a job through the scheduler, which has to make it durable.
+    pub fn submit_via_scheduler(&mut self, id: u64, spec: JobSpec) {
         let (job, spec) = (JobId(id), Arc::new(spec));
-        if let Some(answer) = self.pool.submit(self.now_ms, self.now_ms, job, spec) {
-            self.answers.insert(job, answer);
+        if let Some(accepted) = self.pool.submit(self.now_ms, self.now_ms, job, spec) {
+            self.submission_results.insert(job, accepted);
         }
     }
 
-    /// What the caller was told that handed a job in.
-    pub fn answer(&self, id: u64) -> Option<Accepted> {
-        self.answers.get(&JobId(id)).copied()
+    /// The result that the caller got who submitted a job through the scheduler; `None` if it
+    /// got none so far.
+    pub fn submission_result(&self, id: u64) -> Option<Accepted> {
+        self.submission_results.get(&JobId(id)).copied()
     }
 
-    /// Cancels a job.
     pub fn cancel(&mut self, id: u64) {
         self.cancelled.insert(JobId(id), self.now_ms);
         self.notify(Event::Cancelled { job: JobId(id) });
     }
 
-    /// What callers are told of a job.
+    /// The state that callers see; `None` if the scheduler does not know the job.
     pub fn state(&self, id: u64) -> Option<JobState> {
         self.pool.state(JobId(id))
     }
 
-    /// Jobs that are not over.
+    /// The jobs that are neither completed, failed nor cancelled.
     pub fn open_jobs(&self) -> Vec<JobId> {
-        let over = |job: &&JobId| {
+        let is_finished = |job: &&JobId| {
             matches!(
                 self.pool.state(**job),
                 Some(JobState::Completed | JobState::Failed | JobState::Cancelled)
             )
         };
-        self.jobs.keys().filter(|job| !over(job)).copied().collect()
+        self.jobs.keys().filter(|job| !is_finished(job)).copied().collect()
     }
 
-    /// Jobs that count as waiting.
+    /// The number of jobs of queue `q1` that count as waiting.
     pub fn pending(&self) -> usize {
         self.pool.pending("q1")
     }
 
-    /// Writes the row of a start that is never sent.
-    pub fn record_start_of(&mut self, id: u64) {
+    /// Writes the row of a start that was recorded but never sent.
+    pub fn write_unsent_start(&mut self, id: u64) {
         let name = self.workers.keys().next().cloned();
         let task = TaskProgress { run: 1, worker: name, incarnation: 1, ..TaskProgress::default() };
         let progress = Progress { tasks: vec![task], ..Progress::default() };
         self.progress.insert(JobId(id), progress);
     }
 
-    /// The pace of all that fills on all workers together, in hundredths.
-    pub fn filling_percent(&self) -> u64 {
-        self.workers.values().map(Worker::filling_percent).sum()
+    /// The sum of the paces of all best-effort runs, in percent of one run at full pace.
+    pub fn best_effort_pace_percent(&self) -> u64 {
+        self.workers.values().map(Worker::best_effort_pace_percent).sum()
     }
 
-    /// How far the run is that is nearest to its end, in hundredths.
+    /// The progress of the most advanced run, in percent.
     pub fn furthest_percent(&self) -> u64 {
         self.workers.values().map(Worker::furthest_percent).max().unwrap_or(0)
     }
 
-    /// Why a job is where it is.
+    /// The scheduler's explanation of why a job is in its state.
     pub fn explain(&self, job: JobId) -> String {
         self.pool.explain(job).join("\n")
     }
 
-    /// The advisor can be asked through this many daemons.
-    pub fn set_advisors(&mut self, count: usize) {
+    /// Sets the number of daemons through which the advisor can be queried.
+    pub fn set_advisor_daemons(&mut self, count: usize) {
         self.notify(Event::Advisors { count });
     }
 
-    /// Lets time cycle.
+    /// Advances time in steps of 5 ms.
     pub fn run(&mut self, for_ms: u64) {
         let end_ms = self.now_ms + for_ms;
         while self.now_ms < end_ms {
             self.now_ms += 5;
-            while let Some(entry) = self.agenda.first_entry() {
+            while let Some(entry) = self.timeline.first_entry() {
                 if entry.key().0 > self.now_ms {
                     break;
                 }
                 let item = entry.remove();
-                self.happen(item);
+                self.process(item);
             }
             if self.now_ms.is_multiple_of(100) {
-                self.draw_faults();
+                self.inject_faults();
             }
-            self.work();
-            self.pump();
-            self.check();
+            self.advance_workers();
+            self.apply_effects();
+            self.check_invariants();
             if self.now_ms.is_multiple_of(100) {
-                self.broken.extend(self.pool.tasks_without_wakeup());
+                self.violations.extend(self.pool.tasks_without_wakeup());
             }
         }
     }
 
-    /// Another daemon schedules from now on; calls of the former one are still under way.
-    pub fn take_over(&mut self) {
+    /// Replaces the scheduler by one with the next epoch that restores its state from the
+    /// rows; calls of the former one are still in flight.
+    pub fn fail_over(&mut self) {
         self.epoch += 1;
         self.pool = Pool::new(elected(self.epoch), limits(), self.now_ms, self.now_ms);
         self.notify_customers();
@@ -285,50 +286,55 @@
         self.list_all();
     }
 
-    /// A worker loses all it knows; it is back, as a new life, after a while.
+    /// A worker loses its state and is listed as a new incarnation after 1.5 s.
     pub fn crash(&mut self, name: &WorkerId) {
         let now_ms = self.now_ms;
         if let Some(worker) = self.workers.get_mut(name) {
             worker.crash(now_ms);
         }
-        self.schedule(1_500, Item::Listed(name.clone()));
+        self.schedule(1_500, TimedEvent::Listed(name.clone()));
     }
 
-    /// The scheduler and a worker do not reach each other for a while.
-    pub fn cut(&mut self, name: &WorkerId, for_ms: u64) {
+    /// Calls to a worker get no answer for a while, and it gets none of them.
+    pub fn isolate(&mut self, name: &WorkerId, for_ms: u64) {
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.cut = true;
+            worker.isolated = true;
         }
-        self.schedule(for_ms, Item::Healed(name.clone()));
+        self.schedule(for_ms, TimedEvent::Reachable(name.clone()));
     }
 
-    /// Connections to a worker are refused for a while, though it runs on.
-    pub fn refuse(&mut self, name: &WorkerId, for_ms: u64) {
+    /// Connections to a worker are refused for a while, though it continues to run.
+    pub fn refuse_connections(&mut self, name: &WorkerId, for_ms: u64) {
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.refuses = true;
+            worker.refuses_connections = true;
         }
-        self.schedule(for_ms, Item::Healed(name.clone()));
+        self.schedule(for_ms, TimedEvent::Reachable(name.clone()));
     }
 
-    /// A worker tells that it leaves soon.
+    /// A worker announces that it will leave.
     pub fn drain(&mut self, name: &WorkerId) {
         self.workers.get_mut(name).expect("known").draining = true;
         self.list_all();
     }
 
-    /// Workers that went dark come back with nothing on them, long after.
-    pub fn replace_dark_workers(&mut self) {
+    /// After ten seconds, restarts the workers that were isolated for good, as new
+    /// incarnations without runs.
+    pub fn replace_isolated_workers(&mut self) {
         self.run(10_000);
-        let dark = |worker: &&Worker| worker.dark;
-        let names: Vec<WorkerId> =
-            self.workers.values().filter(dark).map(|worker| worker.name.clone()).collect();
+        let permanently_isolated = |worker: &&Worker| worker.permanently_isolated;
+        let names: Vec<WorkerId> = self
+            .workers
+            .values()
+            .filter(permanently_isolated)
+            .map(|worker| worker.name.clone())
+            .collect();
         for name in names {
             self.crash(&name);
-            self.workers.get_mut(&name).expect("known").dark = false;
+            self.workers.get_mut(&name).expect("known").permanently_isolated = false;
         }
     }
 
-    /// Tells the scheduler of all workers as they are now.
+    /// Notifies the scheduler of the present state of all listed workers.
     pub fn list_all(&mut self) {
         let updates: Vec<_> = self
             .workers
@@ -345,122 +351,122 @@
         self.pool.handle(self.now_ms, self.now_ms, event);
     }
 
-    fn schedule(&mut self, in_ms: u64, item: Item) {
-        self.items += 1;
-        self.agenda.insert((self.now_ms + in_ms, self.items), item);
+    fn schedule(&mut self, in_ms: u64, item: TimedEvent) {
+        self.last_sequence += 1;
+        self.timeline.insert((self.now_ms + in_ms, self.last_sequence), item);
     }
 
     fn chance(&mut self, permille: u32) -> bool {
         permille > 0 && self.rng.random_range(0..1_000) < permille
     }
 
-    fn happen(&mut self, item: Item) {
+    fn process(&mut self, item: TimedEvent) {
         match item {
-            Item::Event(epoch, event) if epoch == self.epoch => self.notify(event),
-            Item::Event(..) => {}
-            Item::Healed(name) => {
+            TimedEvent::Event(epoch, event) if epoch == self.epoch => self.notify(event),
+            TimedEvent::Event(..) => {}
+            TimedEvent::Reachable(name) => {
                 if let Some(worker) = self.workers.get_mut(&name) {
-                    worker.cut = false;
-                    worker.refuses = false;
+                    worker.isolated = false;
+                    worker.refuses_connections = false;
                 }
             }
-            Item::Listed(name) => {
+            TimedEvent::Listed(name) => {
                 let Some(worker) = self.workers.get_mut(&name) else { return };
                 worker.up = true;
                 let update = worker.update();
                 self.notify(Event::Listed(update));
             }
-            Item::Arrives { epoch, incarnation, call, answered } => {
-                self.arrive(epoch, incarnation, call, answered);
+            TimedEvent::CallArrives { epoch, incarnation, call, answered } => {
+                self.deliver(epoch, incarnation, call, answered);
             }
         }
     }
 
-    fn arrive(&mut self, epoch: u64, incarnation: u64, call: Call, answered: bool) {
+    fn deliver(&mut self, epoch: u64, incarnation: u64, call: Call, answered: bool) {
         let Some(worker) = self.workers.get_mut(call.worker()) else { return };
         if worker.up && worker.incarnation != incarnation {
-            // The connection went with the life that it led to.
-            let event = call.event(Err(CallError::NoAnswer));
-            self.schedule(1, Item::Event(epoch, event));
+            // The connection ended with the incarnation that it led to.
+            let event = call.to_event(Err(CallError::NoAnswer));
+            self.schedule(1, TimedEvent::Event(epoch, event));
             return;
         }
-        if worker.cut || worker.dark {
-            let event = call.event(Err(CallError::NoAnswer));
-            self.schedule(900, Item::Event(epoch, event));
+        if worker.isolated || worker.permanently_isolated {
+            let event = call.to_event(Err(CallError::NoAnswer));
+            self.schedule(900, TimedEvent::Event(epoch, event));
             return;
         }
-        if !worker.up || worker.refuses {
-            let event = call.event(Err(CallError::Refused));
-            self.schedule(2, Item::Event(epoch, event));
+        if !worker.up || worker.refuses_connections {
+            let event = call.to_event(Err(CallError::Refused));
+            self.schedule(2, TimedEvent::Event(epoch, event));
             return;
         }
         if let Call::Hold(hold) = &call {
             for task in worker.forget(hold.forget, hold.to.token) {
                 tracing::info!(at = self.now_ms, %task, worker = %hold.to.worker, token = hold.to.token, "WORLD noted");
-                self.noted_done.insert(task);
+                self.acknowledged_done.insert(task);
             }
         }
-        let starts = matches!(call, Call::Start(_));
-        let mut reply = worker.answer(&call, self.now_ms);
+        let is_start = matches!(call, Call::Start(_));
+        let mut reply = worker.handle(&call, self.now_ms);
         if self.tickets_expire && matches!(reply, Reply::Started) && self.has_expired(&call) {
             self.bad_tickets += 1;
             reply = Reply::Refused(StartReply::BadTicket);
         }
-        if starts && matches!(reply, Reply::Started) {
-            self.note_start(&call);
+        if is_start && matches!(reply, Reply::Started) {
+            self.check_start(&call);
         }
         if !answered {
             return;
         }
-        if matches!(reply, Reply::Waits) {
+        if matches!(reply, Reply::Waiting) {
             self.schedule(
                 20,
-                Item::Arrives { epoch, incarnation, call: call.waited(20), answered },
+                TimedEvent::CallArrives { epoch, incarnation, call: call.after_wait(20), answered },
             );
             return;
         }
-        let event = call.event(Ok(reply));
-        let way_ms = self.rng.random_range(1..15);
-        self.schedule(way_ms, Item::Event(epoch, event));
+        let event = call.to_event(Ok(reply));
+        let delay_ms = self.rng.random_range(1..15);
+        self.schedule(delay_ms, TimedEvent::Event(epoch, event));
     }
 
-    /// Whether a start shows a ticket that is no longer good.
+    /// Whether a start carries an expired ticket, or none where one is needed.
     fn has_expired(&self, call: &Call) -> bool {
         let Call::Start(start) = call else { return false };
         let Some(job) = self.jobs.get(&start.task.step.job) else { return false };
         let Some(rule) = job.queue.advice else { return false };
         let issued_ms: Option<u64> = start.ticket.as_ref().and_then(|text| text.parse().ok());
-        issued_ms.is_none_or(|at_ms| at_ms + rule.valid_ms < self.now_ms)
+        issued_ms.is_none_or(|issued_ms| issued_ms + rule.valid_ms < self.now_ms)
     }
 
-    fn work(&mut self) {
-        let present = self.present();
+    fn advance_workers(&mut self) {
+        let members = self.running_members();
         for worker in self.workers.values_mut() {
-            worker.work(self.now_ms, &present);
+            worker.advance(self.now_ms, &members);
         }
-        // A gang ends together; the end of one member breaks the others.
-        let mut ended = BTreeSet::new();
+        // A gang ends as a whole: when one member ends, the other ones do.
+        let mut ended_gangs = BTreeSet::new();
         for worker in self.workers.values_mut() {
-            ended.append(&mut worker.gang_ends);
+            ended_gangs.append(&mut worker.gang_ends);
         }
         for worker in self.workers.values_mut() {
-            worker.break_gangs(&ended);
+            worker.break_gangs(&ended_gangs);
         }
     }
 
-    /// How many members of each gang's run are at work.
-    fn present(&self) -> BTreeMap<(stoatwell_pool::StepId, u32), u32> {
-        let mut present = BTreeMap::new();
+    /// The number of active runs by step and run number; for a gang, its running members.
+    fn running_members(&self) -> BTreeMap<(stoatwell_pool::StepId, u32), u32> {
+        let mut members = BTreeMap::new();
         for worker in self.workers.values() {
             for (task, run) in worker.active.keys() {
-                *present.entry((task.step, *run)).or_insert(0) += 1;
+                *members.entry((task.step, *run)).or_insert(0) += 1;
             }
         }
-        present
+        members
     }
 
-    fn pump(&mut self) {
-        if self.renews {
+    fn apply_effects(&mut self) {
+        if self.can_renew_lease {
             self.pool.note_renewal(self.now_ms);
         }
         for effect in self.pool.poll_effects(self.now_ms, self.now_ms) {
@@ -470,9 +476,9 @@
                 Effect::Stop(call) => self.send(Call::Stop(call)),
                 Effect::Pace(call) => self.send(Call::Pace(call)),
                 Effect::Advise { step, workers, cost_ms, .. } => {
-                    self.asked = workers.len();
+                    self.last_query_workers = workers.len();
                     let lost = self.chance(self.faults.lost_advice);
-                    // The advisor issues tickets as it answers.
+                    // The advisor issues the tickets when it answers.
                     let issued_ms = self.now_ms + self.advice_ms;
                     let grant = |worker: &WorkerId| Grant {
                         worker: worker.clone(),
@@ -485,10 +491,10 @@
                     let event =
                         Event::Advised { step, asked: workers, cost_ms, granted, received_ms };
                     let handled_ms = self.advice_ms + self.backlog_ms;
-                    self.schedule(handled_ms, Item::Event(self.epoch, event));
+                    self.schedule(handled_ms, TimedEvent::Event(self.epoch, event));
                 }
-                // Without the duty nothing can be written.
-                Effect::Commit { .. } if !self.renews => {}
+                // Nothing can be written without the leader lease.
+                Effect::Commit { .. } if !self.can_renew_lease => {}
                 Effect::Commit { batch, writes } => {
                     self.batches += 1;
                     for write in writes {
@@ -496,16 +502,16 @@
                     }
                 }
                 Effect::Answer { job, accepted } => {
-                    self.answers.insert(job, accepted);
+                    self.submission_results.insert(job, accepted);
                 }
                 Effect::StepDown => {}
             }
         }
     }
 
-    /// Makes one part of a batch durable.
+    /// Makes the writes of a batch to one partition durable.
     fn write(&mut self, batch: u64, write: PartitionWrite) {
-        if self.stuck_parts.contains(&write.partition) {
+        if self.stuck_partitions.contains(&write.partition) {
             return;
         }
         for put in write.puts {
@@ -521,31 +527,38 @@
             self.jobs.remove(&job);
         }
         let event = Event::Committed { batch, partition: write.partition };
-        self.schedule(self.commit_ms, Item::Event(self.epoch, event));
+        self.schedule(self.commit_ms, TimedEvent::Event(self.epoch, event));
     }
 
     fn send(&mut self, call: Call) {
-        let way_ms = self.rng.random_range(1..15);
+        let delay_ms = self.rng.random_range(1..15);
         let epoch = self.epoch;
         let incarnation = self.workers.get(call.worker()).map_or(0, |worker| worker.incarnation);
         if self.chance(self.faults.lost_calls) {
-            let event = call.event(Err(CallError::NoAnswer));
-            self.schedule(1_000, Item::Event(epoch, event));
+            let event = call.to_event(Err(CallError::NoAnswer));
+            self.schedule(1_000, TimedEvent::Event(epoch, event));
             return;
         }
         let late = self.chance(self.faults.late_calls);
         if late || self.chance(self.faults.lost_answers) {
-            let event = call.event(Err(CallError::NoAnswer));
-            self.schedule(1_000, Item::Event(epoch, event));
-            let way_ms = if late { self.rng.random_range(2_000..12_000) } else { way_ms };
-            self.schedule(way_ms, Item::Arrives { epoch, incarnation, call, answered: false });
+            let event = call.to_event(Err(CallError::NoAnswer));
+            self.schedule(1_000, TimedEvent::Event(epoch, event));
+            let delay_ms = if late { self.rng.random_range(2_000..12_000) } else { delay_ms };
+            self.schedule(
+                delay_ms,
+                TimedEvent::CallArrives { epoch, incarnation, call, answered: false },
+            );
             return;
         }
-        self.schedule(way_ms, Item::Arrives { epoch, incarnation, call, answered: true });
+        self.schedule(
+            delay_ms,
+            TimedEvent::CallArrives { epoch, incarnation, call, answered: true },
+        );
     }
 }
 
-/// Whether the advisor permits a worker to run a step.
+/// Whether the advisor lets a worker run a step: about `of_five` of five workers, chosen
+/// by a hash of the step and the worker.
 fn is_granted(step: stoatwell_pool::StepId, worker: &WorkerId, of_five: u64) -> bool {
     let mut hash = step.job.0.wrapping_mul(31) ^ u64::from(step.step);
     for byte in worker.as_str().bytes() {
@@ -554,7 +567,8 @@
     hash % 5 < of_five
 }
 
-/// Schedulers of the world follow each other: none goes on beside the next one.
+/// In the simulation a scheduler stops before the next one begins, so no earlier one
+/// extends leases any more.
 fn elected(epoch: u64) -> Election {
     Election { epoch, earlier_extends_ms: 0 }
 }
--- a/crates/pool/tests/world/worker.rs
+++ b/crates/pool/tests/world/worker.rs
@@ -1,4 +1,4 @@
-//! A worker by the rules of its protocol.
+//! A simulated worker that follows the worker protocol.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,14 +22,15 @@
 use stoatwell_pool::TaskId;
 use stoatwell_pool::WorkerUpdate;
 
-/// How long a gang's member waits for the others.
-const GANG_MS: u64 = 3_000;
-/// Response time of a serving task for each filler at full pace beside it.
-pub const RESPONSE_MS: u64 = 100;
-/// How long a stop takes.
-const STOP_MS: u64 = 300;
+/// How long a member of a gang waits for the other members to start.
+const GANG_TIMEOUT_MS: u64 = 3_000;
+/// The response time of a latency-sensitive task per best-effort run at full pace on the
+/// same worker.
+pub const RESPONSE_MS_PER_TASK: u64 = 100;
+/// The time from a stop call to the end of the run.
+const STOP_DURATION_MS: u64 = 300;
 
-/// A call under way.
+/// A call to a worker in flight.
 pub enum Call {
     Hold(HoldCall),
     Start(StartCall),
@@ -37,65 +38,70 @@
     Pace(PaceCall),
 }
 
-/// What a worker says.
+/// A worker's reply to a call; `Waiting` means that a hold has nothing to report yet.
 pub enum Reply {
-    Lists(HoldReply),
-    Waits,
+    Hold(HoldReply),
+    Waiting,
     Started,
     Refused(StartReply),
     Stopped,
     Superseded,
 }
 
-/// A run at work.
+/// An active run.
 pub struct Run {
-    pub room: Resources,
-    begun_ms: u64,
-    takes_ms: u64,
-    fails: bool,
+    pub demand: Resources,
+    started_ms: u64,
+    duration_ms: u64,
+    will_fail: bool,
     gang: Option<u32>,
     worked_ms: u64,
-    fills: bool,
-    saves: bool,
-    /// In hundredths.
+    best_effort: bool,
+    checkpoints: bool,
+    /// In percent.
     pace: u64,
-    stops_ms: Option<u64>,
+    stop_due_ms: Option<u64>,
 }
 
-/// A worker.
+/// A worker and the network conditions in front of it.
 pub struct Worker {
     pub name: WorkerId,
     pub up: bool,
-    pub cut: bool,
-    /// Cut off by something that refuses connections in its place.
-    pub refuses: bool,
-    /// Cut off for good.
-    pub dark: bool,
-    /// Tasks make no progress.
-    pub hangs: bool,
+    /// Whether calls neither reach it nor are answered, for a while.
+    pub isolated: bool,
+    /// Whether something in front of it, such as a firewall, refuses connections.
+    pub refuses_connections: bool,
+    /// Whether calls neither reach it nor are answered, for good.
+    pub permanently_isolated: bool,
+    /// Whether its tasks make no progress.
+    pub hung: bool,
     pub capacity: Resources,
     pub rack: &'static str,
-    /// Whether it leaves soon.
+    /// Whether it has announced that it will leave.
     pub draining: bool,
     pub active: BTreeMap<(TaskId, u32), Run>,
-    pub was_done: BTreeSet<TaskId>,
+    pub completed: BTreeSet<TaskId>,
+    /// The gang runs that ended here in the present step of time, and whether as done.
     pub gang_ends: BTreeSet<(StepId, u32, bool)>,
     pub incarnation: u64,
-    slow_permille: u64,
-    began_ms: u64,
+    clock_slow_permille: u64,
+    incarnation_start_ms: u64,
     token: u64,
-    until_ms: u64,
+    lease_end_ms: u64,
     ended: Vec<EndedRun>,
     next_end: u64,
-    /// Ends up to this number were listed when the lease lapsed; they count for nothing.
+    /// Ends up to this number had been recorded when the lease expired; they no longer count
+    /// as completions.
     void_up_to: u64,
-    stopped: BTreeMap<TaskId, u32>,
+    /// The highest run number of each task that was stopped or ended; no run up to it starts.
+    closed_runs: BTreeMap<TaskId, u32>,
 }
 
 impl Run {
-    /// What it has saved: the work it had done at the last full tenth of a second.
+    /// The saved checkpoint: the work done, rounded down to full 100 ms; empty if the step
+    /// saves none.
     fn checkpoint(&self) -> String {
-        if self.saves { format!("{}", self.worked_ms / 100 * 100) } else { String::new() }
+        if self.checkpoints { format!("{}", self.worked_ms / 100 * 100) } else { String::new() }
     }
 }
 
@@ -109,8 +115,8 @@
         }
     }
 
-    /// The same hold, with less time left to wait.
-    pub fn waited(self, ms: u64) -> Self {
+    /// The same hold, with its remaining wait reduced.
+    pub fn after_wait(self, ms: u64) -> Self {
         match self {
             Self::Hold(call) => {
                 Self::Hold(HoldCall { wait_ms: call.wait_ms.saturating_sub(ms), ..call })
@@ -119,12 +125,12 @@
         }
     }
 
-    /// The news that the scheduler gets.
-    pub fn event(&self, result: Result<Reply, CallError>) -> Event {
+    /// The event by which the scheduler gets the result of the call.
+    pub fn to_event(&self, result: Result<Reply, CallError>) -> Event {
         match self {
             Self::Hold(call) => {
                 let reply = match result {
-                    Ok(Reply::Lists(lists)) => Ok(lists),
+                    Ok(Reply::Hold(reply)) => Ok(reply),
                     Ok(Reply::Superseded) => Err(CallError::Superseded),
                     Ok(_) => Err(CallError::NoAnswer),
                     Err(error) => Err(error),
@@ -134,7 +140,7 @@
             Self::Start(call) => {
                 let reply = match result {
                     Ok(Reply::Started) => Ok(StartReply::Started),
-                    Ok(Reply::Refused(why)) => Ok(why),
+                    Ok(Reply::Refused(reply)) => Ok(reply),
                     Ok(_) => Err(CallError::NoAnswer),
                     Err(error) => Err(error),
                 };
@@ -165,29 +171,29 @@
 }
 
 impl Worker {
-    pub fn new(name: WorkerId, slow_permille: u64) -> Self {
+    pub fn new(name: WorkerId, clock_slow_permille: u64) -> Self {
         Self {
             name,
             up: true,
-            cut: false,
-            refuses: false,
-            dark: false,
-            hangs: false,
+            isolated: false,
+            refuses_connections: false,
+            permanently_isolated: false,
+            hung: false,
             capacity: Resources { cpu_millis: 16_000, memory_bytes: 1 << 40, accelerators: 0 },
             rack: "r1",
             draining: false,
             active: BTreeMap::new(),
-            was_done: BTreeSet::new(),
+            completed: BTreeSet::new(),
             gang_ends: BTreeSet::new(),
-            slow_permille,
+            clock_slow_permille,
             incarnation: 1,
-            began_ms: 0,
+            incarnation_start_ms: 0,
             token: 0,
-            until_ms: 0,
+            lease_end_ms: 0,
             ended: Vec::new(),
             next_end: 1,
             void_up_to: 0,
-            stopped: BTreeMap::new(),
+            closed_runs: BTreeMap::new(),
         }
     }
 
@@ -206,40 +212,44 @@
     }
 
     pub fn crash(&mut self, now_ms: u64) {
-        let fresh = Self::new(self.name.clone(), self.slow_permille);
-        let was_done = std::mem::take(&mut self.was_done);
+        let restarted = Self::new(self.name.clone(), self.clock_slow_permille);
+        let completed = std::mem::take(&mut self.completed);
         *self = Self {
             up: false,
-            cut: self.cut,
-            refuses: self.refuses,
+            isolated: self.isolated,
+            refuses_connections: self.refuses_connections,
             rack: self.rack,
-            dark: self.dark,
+            permanently_isolated: self.permanently_isolated,
             incarnation: self.incarnation + 1,
-            began_ms: now_ms,
-            was_done,
-            ..fresh
+            incarnation_start_ms: now_ms,
+            completed,
+            ..restarted
         };
     }
 
+    /// The worker's own clock, which counts from the start of the incarnation and may run
+    /// slow by less than 2 %.
     fn clock(&self, now_ms: u64) -> u64 {
-        let passed_ms = now_ms - self.began_ms;
-        passed_ms - passed_ms * self.slow_permille / 1_000
+        let passed_ms = now_ms - self.incarnation_start_ms;
+        passed_ms - passed_ms * self.clock_slow_permille / 1_000
     }
 
-    /// Forgets ends; gives the tasks that were done by them.
+    /// Forgets the ends up to a number and returns the tasks that they completed. Does nothing
+    /// for a fencing token below the highest one seen.
     pub fn forget(&mut self, up_to: u64, token: u64) -> Vec<TaskId> {
         if token < self.token {
             return Vec::new();
         }
-        let (gone, rest): (Vec<EndedRun>, Vec<EndedRun>) =
+        let (acknowledged, remaining): (Vec<EndedRun>, Vec<EndedRun>) =
             self.ended.drain(..).partition(|ended| ended.number <= up_to);
-        self.ended = rest;
+        self.ended = remaining;
         let void_up_to = self.void_up_to;
-        let counts = |ended: &EndedRun| ended.end == RunOutcome::Done && ended.number > void_up_to;
-        gone.into_iter().filter(counts).map(|ended| ended.task).collect()
+        let is_completion =
+            |ended: &EndedRun| ended.end == RunOutcome::Done && ended.number > void_up_to;
+        acknowledged.into_iter().filter(is_completion).map(|ended| ended.task).collect()
     }
 
-    pub fn answer(&mut self, call: &Call, now_ms: u64) -> Reply {
+    pub fn handle(&mut self, call: &Call, now_ms: u64) -> Reply {
         let token = match call {
             Call::Hold(call) => call.to.token,
             Call::Start(call) => call.to.token,
@@ -262,20 +272,24 @@
     }
 
     fn hold(&mut self, call: &HoldCall, now_ms: u64) -> Reply {
-        self.extend(call.until_ms, now_ms);
+        self.extend_lease(call.until_ms, now_ms);
         if call.wait_ms > 0 && self.ended.is_empty() {
-            return Reply::Waits;
+            return Reply::Waiting;
         }
-        // Response times grow with the pace of what fills beside.
-        let filling = self.filling_percent();
-        let active = |((task, run), at_work): (&(TaskId, u32), &Run)| ActiveRun {
+        // Response times grow with the pace of the best-effort runs on the worker.
+        let best_effort_percent = self.best_effort_pace_percent();
+        let active = |((task, run), running): (&(TaskId, u32), &Run)| ActiveRun {
             task: *task,
             run: *run,
-            checkpoint: at_work.checkpoint(),
-            percent: (at_work.worked_ms * 100 / at_work.takes_ms.max(1)) as u32,
-            load: if at_work.fills { 0 } else { filling * RESPONSE_MS / 100 },
+            checkpoint: running.checkpoint(),
+            percent: (running.worked_ms * 100 / running.duration_ms.max(1)) as u32,
+            load: if running.best_effort {
+                0
+            } else {
+                best_effort_percent * RESPONSE_MS_PER_TASK / 100
+            },
         };
-        Reply::Lists(HoldReply {
+        Reply::Hold(HoldReply {
             clock_ms: self.clock(now_ms),
             life: self.incarnation,
             active: self.active.iter().map(active).collect(),
@@ -283,10 +297,10 @@
         })
     }
 
-    fn extend(&mut self, until_ms: Option<u64>, now_ms: u64) {
+    fn extend_lease(&mut self, until_ms: Option<u64>, now_ms: u64) {
         let longest = self.clock(now_ms) + super::LEASE_MS;
         let until_ms = until_ms.unwrap_or(0).min(longest);
-        self.until_ms = self.until_ms.max(until_ms);
+        self.lease_end_ms = self.lease_end_ms.max(until_ms);
     }
 
     fn start(&mut self, call: &StartCall, now_ms: u64) -> Reply {
@@ -296,49 +310,49 @@
         if call.until_ms <= self.clock(now_ms) {
             return Reply::Refused(StartReply::TooLate);
         }
-        self.extend(Some(call.until_ms), now_ms);
+        self.extend_lease(Some(call.until_ms), now_ms);
         let newest = self.active.keys().filter(|(task, _)| *task == call.task).map(|(_, run)| *run);
-        let newest = newest.chain(self.stopped.get(&call.task).copied()).max();
+        let newest = newest.chain(self.closed_runs.get(&call.task).copied()).max();
         if newest.is_some_and(|run| run >= call.run) {
             return Reply::Refused(StartReply::OldRun);
         }
         Reply::Started
     }
 
-    /// The run that a start has just begun.
-    pub fn begin(
+    /// Begins the run of a start that was accepted.
+    pub fn start_run(
         &mut self,
         call: &StartCall,
         now_ms: u64,
-        takes_ms: u64,
-        fails: bool,
+        duration_ms: u64,
+        will_fail: bool,
         gang: Option<u32>,
         step: &StepSpec,
     ) {
         let run = Run {
-            room: step.worker_demand(),
-            begun_ms: now_ms,
-            takes_ms,
-            fails,
+            demand: step.worker_demand(),
+            started_ms: now_ms,
+            duration_ms,
+            will_fail,
             gang,
             worked_ms: call.checkpoint.parse().unwrap_or(0),
-            fills: step.fills,
-            saves: step.checkpoints,
+            best_effort: step.fills,
+            checkpoints: step.checkpoints,
             pace: 100,
-            stops_ms: None,
+            stop_due_ms: None,
         };
         self.active.insert((call.task, call.run), run);
     }
 
-    /// How far the run is that is nearest to its end, in hundredths.
+    /// The progress of the most advanced run, in percent.
     pub fn furthest_percent(&self) -> u64 {
-        let percent = |run: &Run| run.worked_ms * 100 / run.takes_ms.max(1);
+        let percent = |run: &Run| run.worked_ms * 100 / run.duration_ms.max(1);
         self.active.values().map(percent).max().unwrap_or(0)
     }
 
-    /// The pace of all that fills here together, in hundredths.
-    pub fn filling_percent(&self) -> u64 {
-        self.active.values().filter(|run| run.fills).map(|run| run.pace).sum()
+    /// The sum of the paces of the best-effort runs, in percent of one run at full pace.
+    pub fn best_effort_pace_percent(&self) -> u64 {
+        self.active.values().filter(|run| run.best_effort).map(|run| run.pace).sum()
     }
 
     fn pace(&mut self, call: &PaceCall) -> Reply {
@@ -349,38 +363,41 @@
     }
 
     fn stop(&mut self, call: &StopCall, now_ms: u64) -> Reply {
-        let highest = self.stopped.entry(call.task).or_insert(0);
+        let highest = self.closed_runs.entry(call.task).or_insert(0);
         *highest = (*highest).max(call.run);
         if let Some(run) = self.active.get_mut(&(call.task, call.run)) {
-            run.stops_ms.get_or_insert(now_ms + STOP_MS);
+            run.stop_due_ms.get_or_insert(now_ms + STOP_DURATION_MS);
         }
         Reply::Stopped
     }
 
-    /// Five milliseconds of work.
-    pub fn work(&mut self, now_ms: u64, present: &BTreeMap<(StepId, u32), u32>) {
-        let lapsed = self.clock(now_ms) > self.until_ms;
-        if lapsed {
+    /// Advances the runs by 5 ms and ends those that are due. `running_members` counts the
+    /// active runs of all workers by step and run number.
+    pub fn advance(&mut self, now_ms: u64, running_members: &BTreeMap<(StepId, u32), u32>) {
+        let lease_expired = self.clock(now_ms) > self.lease_end_ms;
+        if lease_expired {
             self.void_up_to = self.next_end - 1;
         }
         let mut ends = Vec::new();
-        for ((task, run), at_work) in &mut self.active {
-            let members = present.get(&(task.step, *run)).copied().unwrap_or(0);
-            let whole = at_work.gang.is_none_or(|all| members >= all);
-            if whole && !self.hangs {
-                at_work.worked_ms += 5;
+        for ((task, run), running) in &mut self.active {
+            let members = running_members.get(&(task.step, *run)).copied().unwrap_or(0);
+            let gang_is_complete = running.gang.is_none_or(|all| members >= all);
+            if gang_is_complete && !self.hung {
+                running.worked_ms += 5;
             }
-            let alone = !whole && at_work.worked_ms == 0 && at_work.begun_ms + GANG_MS < now_ms;
-            let over = at_work.worked_ms >= at_work.takes_ms;
-            let end = if lapsed {
+            let gang_timed_out = !gang_is_complete
+                && running.worked_ms == 0
+                && running.started_ms + GANG_TIMEOUT_MS < now_ms;
+            let is_finished = running.worked_ms >= running.duration_ms;
+            let end = if lease_expired {
                 RunOutcome::Lapsed
-            } else if at_work.stops_ms.is_some_and(|at| at <= now_ms) {
+            } else if running.stop_due_ms.is_some_and(|due_ms| due_ms <= now_ms) {
                 RunOutcome::Stopped
-            } else if over && at_work.fails {
+            } else if is_finished && running.will_fail {
                 RunOutcome::Failed
-            } else if over {
+            } else if is_finished {
                 RunOutcome::Done
-            } else if alone {
+            } else if gang_timed_out {
                 RunOutcome::Alone
             } else {
                 continue;
@@ -393,25 +410,25 @@
     }
 
     fn end(&mut self, task: TaskId, run: u32, end: RunOutcome) {
-        let Some(at_work) = self.active.remove(&(task, run)) else { return };
-        let checkpoint = at_work.checkpoint();
-        if at_work.gang.is_some() {
+        let Some(running) = self.active.remove(&(task, run)) else { return };
+        let checkpoint = running.checkpoint();
+        if running.gang.is_some() {
             self.gang_ends.insert((task.step, run, end == RunOutcome::Done));
         }
         if end == RunOutcome::Done {
-            self.was_done.insert(task);
+            self.completed.insert(task);
         }
-        let highest = self.stopped.entry(task).or_insert(0);
+        let highest = self.closed_runs.entry(task).or_insert(0);
         *highest = (*highest).max(run);
         let number = self.next_end;
         self.next_end += 1;
         self.ended.push(EndedRun { number, task, run, end, checkpoint });
     }
 
-    /// Ends the members here of gangs that ended elsewhere.
+    /// Ends the local members of gangs that ended on any worker.
     pub fn break_gangs(&mut self, ended: &BTreeSet<(StepId, u32, bool)>) {
-        let mine: Vec<(TaskId, u32)> = self.active.keys().copied().collect();
-        for (task, run) in mine {
+        let local_runs: Vec<(TaskId, u32)> = self.active.keys().copied().collect();
+        for (task, run) in local_runs {
             if ended.contains(&(task.step, run, true)) {
                 self.end(task, run, RunOutcome::Done);
             } else if ended.contains(&(task.step, run, false)) {
