--- a/crates/node/src/accept.rs
+++ b/crates/node/src/accept.rs
@@ -41,8 +41,8 @@
 const QUEUE_MAX: usize = 400;
 /// Delay before a write that the store refused is retried ...
 const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(60);
-/// ... this many times, which outlasts the second in which a full part drains
-/// only in part: callers are told to come back instead.
+/// ... this many times, which outlasts the second in which a full partition drains
+/// only partially: callers are told to come back instead.
 const REFUSED_ATTEMPTS_MAX: u32 = 4;
 /// Delay before a write that got no response is retried.
 const IN_DOUBT_RETRY_DELAY: Duration = Duration::from_millis(30);
--- a/crates/node/src/advisor_dispatcher.rs
+++ b/crates/node/src/advisor_dispatcher.rs
@@ -50,8 +50,8 @@
 
 /// Sends queries to the advisor through this daemon and others.
 #[derive(Debug)]
-pub struct AdvisorDispatcher<O> {
-    outside: Arc<O>,
+pub struct AdvisorDispatcher<P> {
+    platform: Arc<P>,
     peers: Peers,
     own_address: String,
     state: Arc<Mutex<State>>,
@@ -81,12 +81,12 @@
     permit: oneshot::Sender<Permit>,
 }
 
-impl<O: Platform> AdvisorDispatcher<O> {
+impl<P: Platform> AdvisorDispatcher<P> {
     /// A dispatcher that uses only this daemon, until others are known.
-    pub fn new(outside: Arc<O>, peers: Peers, own_address: String) -> Self {
+    pub fn new(platform: Arc<P>, peers: Peers, own_address: String) -> Self {
         let proxies = BTreeMap::from([(own_address.clone(), Proxy::default())]);
         let state = State { proxies, ..State::default() };
-        Self { outside, peers, own_address, state: Arc::new(Mutex::new(state)) }
+        Self { platform, peers, own_address, state: Arc::new(Mutex::new(state)) }
     }
 
     /// Updates the list of daemons. Returns the addresses of all proxies, including daemons
@@ -132,7 +132,7 @@
             let sent_ms = steady_ms();
             let limit_ms = cost_ms + TIMEOUT_MARGIN_MS;
             let granted = if address == self.own_address {
-                self.outside.advise(step, workers, limit_ms).await
+                self.platform.advise(step, workers, limit_ms).await
             } else {
                 self.query_peer(&address, step, workers, limit_ms).await
             };
--- a/crates/node/src/commit/fences.rs
+++ b/crates/node/src/commit/fences.rs
@@ -58,35 +58,35 @@
 
 /// Writes this leader's fence to all partitions. Returns the versions of the fences by
 /// partition, or `None` if a later leader has fenced a partition already.
-pub(crate) async fn claim_fences<O: Platform>(
-    outside: &Arc<O>,
+pub(crate) async fn claim_fences<P: Platform>(
+    platform: &Arc<P>,
     health: &Arc<StoreHealth>,
     own_fence: &Fence,
 ) -> Option<Vec<u64>> {
     let permits = Arc::new(Semaphore::new(CONCURRENT_CLAIMS_MAX));
     let mut claims = JoinSet::new();
-    for part in 0..PARTITIONS {
-        let (outside, health) = (Arc::clone(outside), Arc::clone(health));
+    for partition in 0..PARTITIONS {
+        let (platform, health) = (Arc::clone(platform), Arc::clone(health));
         let permits = Arc::clone(&permits);
         let own_fence = own_fence.clone();
         claims.spawn(async move {
             let _permit = permits.acquire().await;
-            (part, claim(outside.as_ref(), &health, part, &own_fence).await)
+            (partition, claim(platform.as_ref(), &health, partition, &own_fence).await)
         });
     }
     let mut versions = vec![0; PARTITIONS];
     while let Some(claimed) = claims.join_next().await {
-        let Ok((part, version)) = claimed else {
+        let Ok((partition, version)) = claimed else {
             tracing::error!("a task that fences a partition ended early; the claim is given up");
             return None;
         };
-        versions[part] = version?;
+        versions[partition] = version?;
     }
     Some(versions)
 }
 
 async fn claim(
-    outside: &impl Platform,
+    platform: &impl Platform,
     health: &StoreHealth,
     part: usize,
     own_fence: &Fence,
@@ -99,7 +99,7 @@
             put: vec![(Table::Fences, key.clone(), encode(own_fence))],
             remove: Vec::new(),
         };
-        match health.track_write(outside.transact(&transaction)).await {
+        match health.track_write(platform.transact(&transaction)).await {
             Ok(version) => return Some(version),
             Err(StoreError::Conflict(rows)) => {
                 let current_row = rows.iter().find(|(table, row)| {
--- a/crates/node/src/commit/renew.rs
+++ b/crates/node/src/commit/renew.rs
@@ -36,14 +36,14 @@
 }
 
 /// Renews the lease until another daemon holds it or `stop` fires. On `stop` it is released.
-pub(crate) async fn renew_lease<O: Platform>(
-    outside: Arc<O>,
+pub(crate) async fn renew_lease<P: Platform>(
+    platform: Arc<P>,
     lease: HeldLease,
     health: Arc<StoreHealth>,
     mut stop: watch::Receiver<bool>,
     renewed_ms: Arc<AtomicU64>,
 ) {
-    let mut renewer = LeaseRenewer { outside, lease, health, renewed_ms };
+    let mut renewer = LeaseRenewer { platform, lease, health, renewed_ms };
     let mut renew_at = Instant::now();
     loop {
         renew_at += Duration::from_millis(RENEW_INTERVAL_MS);
@@ -62,21 +62,21 @@
     tracing::info!(epoch = renewer.lease.row.epoch, released, "duty given up");
 }
 
-struct LeaseRenewer<O> {
-    outside: Arc<O>,
+struct LeaseRenewer<P> {
+    platform: Arc<P>,
     lease: HeldLease,
     health: Arc<StoreHealth>,
     /// When the newest successful renewal was sent.
     renewed_ms: Arc<AtomicU64>,
 }
 
-impl<O: Platform> LeaseRenewer<O> {
+impl<P: Platform> LeaseRenewer<P> {
     /// Writes the row, with retries; returns `false` when another daemon holds the lease.
     async fn write(&mut self) -> bool {
         loop {
             let transaction = self.transaction();
             let sent_ms = steady_ms();
-            match self.health.track_write(self.outside.transact(&transaction)).await {
+            match self.health.track_write(self.platform.transact(&transaction)).await {
                 Ok(version) => {
                     // Others may have seen the row change at any time since it was sent.
                     self.renewed_ms.store(sent_ms, Ordering::Relaxed);
--- a/crates/node/src/commit/writer.rs
+++ b/crates/node/src/commit/writer.rs
@@ -37,8 +37,8 @@
 
 /// Writes the batches of one leader.
 #[derive(Debug)]
-pub(crate) struct Writer<O> {
-    pub outside: Arc<O>,
+pub(crate) struct Writer<P> {
+    pub platform: Arc<P>,
     pub health: Arc<StoreHealth>,
     /// This leader's fence.
     pub fence: Fence,
@@ -55,10 +55,10 @@
     Retry,
     Refused,
     InDoubt,
-    Deposed,
+    LeadershipLost,
 }
 
-impl<O: Platform> Writer<O> {
+impl<P: Platform> Writer<P> {
     /// Writes a batch: first as one transaction and, if that fails, each partition separately.
     pub async fn write(self: Arc<Self>, batch: u64, mut writes: Vec<PartitionWrite>) {
         loop {
@@ -70,12 +70,12 @@
                     return;
                 }
                 WriteOutcome::Retry => {}
-                WriteOutcome::Deposed => return self.notify_deposed(),
+                WriteOutcome::LeadershipLost => return self.notify_leadership_lost(),
                 failed @ (WriteOutcome::Refused | WriteOutcome::InDoubt) => {
                     let in_doubt = matches!(failed, WriteOutcome::InDoubt);
                     let mut partitions = JoinSet::new();
                     for write in writes {
-                        partitions.spawn(Arc::clone(&self).write_part(batch, write, in_doubt));
+                        partitions.spawn(Arc::clone(&self).write_partition(batch, write, in_doubt));
                     }
                     while partitions.join_next().await.is_some() {}
                     return;
@@ -89,17 +89,22 @@
     /// After a write without a response, the next attempt also rewrites the fence. The lost
     /// write could otherwise be carried out seconds later and overwrite newer progress; the
     /// fence's new version makes its condition fail.
-    async fn write_part(self: Arc<Self>, batch: u64, write: PartitionWrite, mut in_doubt: bool) {
-        let part = write.partition;
+    async fn write_partition(
+        self: Arc<Self>,
+        batch: u64,
+        write: PartitionWrite,
+        mut in_doubt: bool,
+    ) {
+        let partition = write.partition;
         let mut writes = vec![write];
         let mut refusals = 0;
         let mut unanswered = u32::from(in_doubt);
         loop {
             sleep(RETRY_DELAY).await;
             match self.try_write(&mut writes, in_doubt).await {
-                WriteOutcome::Done => return self.notify_committed(batch, part),
+                WriteOutcome::Done => return self.notify_committed(batch, partition),
                 WriteOutcome::Retry => {}
-                WriteOutcome::Deposed => return self.notify_deposed(),
+                WriteOutcome::LeadershipLost => return self.notify_leadership_lost(),
                 WriteOutcome::InDoubt => {
                     in_doubt = true;
                     unanswered += 1;
@@ -122,7 +127,7 @@
         let sent_at = Instant::now();
         let write = async {
             let limit = self.health.write_timeout();
-            let result = timeout(limit, self.outside.transact(&transaction)).await;
+            let result = timeout(limit, self.platform.transact(&transaction)).await;
             result.unwrap_or(Err(StoreError::NoAnswer))
         };
         match self.health.track_write(write).await {
@@ -159,7 +164,9 @@
     fn resolve(&self, writes: &mut [PartitionWrite], rows: &[(Table, Row)]) -> WriteOutcome {
         for (table, row) in rows {
             if *table == Table::Fences {
-                let Some((fence, version)) = read_fence(row) else { return WriteOutcome::Deposed };
+                let Some((fence, version)) = read_fence(row) else {
+                    return WriteOutcome::LeadershipLost;
+                };
                 if !fence.is_same_leader(&self.fence) {
                     tracing::warn!(
                         part = row.key,
@@ -167,10 +174,12 @@
                         epoch = fence.epoch,
                         "cannot write a batch: another daemon leads now"
                     );
-                    return WriteOutcome::Deposed;
+                    return WriteOutcome::LeadershipLost;
                 }
-                let Ok(part) = row.key.parse::<usize>() else { return WriteOutcome::Deposed };
-                if let Some(known_version) = self.fence_versions().get_mut(part) {
+                let Ok(partition) = row.key.parse::<usize>() else {
+                    return WriteOutcome::LeadershipLost;
+                };
+                if let Some(known_version) = self.fence_versions().get_mut(partition) {
                     *known_version = version;
                 }
             }
@@ -266,7 +275,7 @@
         self.messages.notify(Event::Committed { batch, partition });
     }
 
-    fn notify_deposed(&self) {
-        self.messages.depose();
+    fn notify_leadership_lost(&self) {
+        self.messages.notify_leadership_lost();
     }
 }
--- a/crates/node/src/elector.rs
+++ b/crates/node/src/elector.rs
@@ -112,7 +112,7 @@
         }
     }
 
-    fn fitness(&self) -> Candidate {
+    fn candidate(&self) -> Candidate {
         Candidate {
             name: self.settings.name.clone(),
             cores: self.settings.cores,
@@ -122,7 +122,7 @@
     }
 
     fn claim_ms(&self, view: &LeaderLeaseView) -> u64 {
-        view.claim_ms(&self.fitness(), self.gateway.leader_liveness(view.epoch()))
+        view.claim_ms(&self.candidate(), self.gateway.leader_liveness(view.epoch()))
     }
 
     /// Reads the lease row once, waiting for a change as long as no claim is due. `false` if
@@ -251,7 +251,7 @@
         self.gateway.set_local_leader(Some(queries.clone()));
         self.leading.send_replace(Some(queries));
         let lead = Leader {
-            outside: Arc::clone(&self.platform),
+            platform: Arc::clone(&self.platform),
             lease,
             limits: self.settings.limits,
             health: Arc::clone(&self.health),
--- a/crates/node/src/executors/call.rs
+++ b/crates/node/src/executors/call.rs
@@ -139,12 +139,12 @@
     }
 
     /// Makes the call and waits for its outcome.
-    pub async fn perform(&self, outside: &impl Platform) -> WorkerReply {
+    pub async fn perform(&self, platform: &impl Platform) -> WorkerReply {
         match self {
-            Self::Hold(call) => WorkerReply::Held(outside.hold(call).await),
-            Self::Start(call) => WorkerReply::Started(outside.start(call).await),
-            Self::Stop(call) => WorkerReply::Done(outside.stop(call).await),
-            Self::Pace(call) => WorkerReply::Done(outside.pace(call).await),
+            Self::Hold(call) => WorkerReply::Held(platform.hold(call).await),
+            Self::Start(call) => WorkerReply::Started(platform.start(call).await),
+            Self::Stop(call) => WorkerReply::Done(platform.stop(call).await),
+            Self::Pace(call) => WorkerReply::Done(platform.pace(call).await),
         }
     }
 }
--- a/crates/node/src/executors/mod.rs
+++ b/crates/node/src/executors/mod.rs
@@ -44,8 +44,8 @@
 
 /// Makes the leader's calls to workers, directly or through executors.
 #[derive(Debug)]
-pub struct Executors<O> {
-    outside: Arc<O>,
+pub struct Executors<P> {
+    platform: Arc<P>,
     peers: Peers,
     epoch: u64,
     messages: InboxSender,
@@ -70,10 +70,10 @@
     last_session: u64,
 }
 
-impl<O: Platform> Executors<O> {
+impl<P: Platform> Executors<P> {
     /// Without executors; the leader makes all calls directly until members are known.
     pub fn new(
-        outside: Arc<O>,
+        platform: Arc<P>,
         peers: Peers,
         leader: Member,
         epoch: u64,
@@ -90,7 +90,7 @@
         };
         let state = Arc::new(Mutex::new(state));
         let tasks = Mutex::default();
-        Self { outside, peers, epoch, messages, state, tasks, changed: watch::Sender::default() }
+        Self { platform, peers, epoch, messages, state, tasks, changed: watch::Sender::default() }
     }
 
     /// Updates the list of daemons that can be executors.
@@ -150,12 +150,12 @@
     }
 
     fn call_directly(&self, call: WorkerCall) {
-        let outside = Arc::clone(&self.outside);
+        let platform = Arc::clone(&self.platform);
         let messages = self.messages.clone();
         let state = Arc::clone(&self.state);
         let pending = call.pending();
         self.spawn(async move {
-            let reply = call.perform(&*outside).await;
+            let reply = call.perform(&*platform).await;
             if reply.is_unanswered() {
                 lock(&state).direct_workers.remove(pending.worker());
             }
--- a/crates/node/src/executors/session.rs
+++ b/crates/node/src/executors/session.rs
@@ -35,8 +35,8 @@
 
 /// Makes the calls of the newest session.
 #[derive(Debug)]
-pub struct Executor<O> {
-    outside: Arc<O>,
+pub struct Executor<P> {
+    platform: Arc<P>,
     current: Mutex<Option<Arc<Session>>>,
 }
 
@@ -47,10 +47,10 @@
     replied: Notify,
 }
 
-impl<O: Platform> Executor<O> {
+impl<P: Platform> Executor<P> {
     /// An executor without a session.
-    pub fn new(outside: Arc<O>) -> Self {
-        Self { outside, current: Mutex::default() }
+    pub fn new(platform: Arc<P>) -> Self {
+        Self { platform, current: Mutex::default() }
     }
 
     /// Begins to make the calls of a batch; `false` if a newer session replaced this one.
@@ -59,7 +59,7 @@
         let expires_ms = batch.expires_ms;
         for (number, call) in batch.into_calls() {
             let session = Arc::clone(&session);
-            let outside = Arc::clone(&self.outside);
+            let platform = Arc::clone(&self.platform);
             tokio::spawn(async move {
                 // A start that was delayed on its way may come from a leader that has been
                 // replaced meanwhile.
@@ -67,7 +67,7 @@
                 let reply = if is_expired {
                     WorkerReply::Failed(CallError::NotSent)
                 } else {
-                    call.perform(&*outside).await
+                    call.perform(&*platform).await
                 };
                 session.lock().push((number, reply));
                 session.replied.notify_one();
--- a/crates/node/src/gateway.rs
+++ b/crates/node/src/gateway.rs
@@ -174,19 +174,23 @@
     }
 
     /// Records the leader's proof that the manifest is current, and fetches the leader's
-    /// manifest if it is newer. `asked_ms` is when the leader was asked for the proof.
-    pub(crate) async fn note_proof(&self, leader: &str, relayed: RelayedProof, asked_ms: u64) {
+    /// manifest if it is newer. `requested_ms` is when the proof was requested from the leader.
+    pub(crate) async fn note_proof(&self, leader: &str, relayed: RelayedProof, requested_ms: u64) {
         if relayed.version <= self.manifest.newest().version {
-            let proof = FreshnessProof::from_peer(relayed.version, relayed.age_ms, asked_ms);
+            let proof = FreshnessProof::from_peer(relayed.version, relayed.age_ms, requested_ms);
             self.manifest.note_proof(proof);
             return;
         }
-        let asked_ms = steady_ms();
+        let requested_ms = steady_ms();
         let reply = self.peers.call(leader, &NodeCall::Manifest, LEADER_TIMEOUT).await;
         let Ok(NodeReply::Manifest { manifest, proof }) = reply else { return };
         let Some(manifest) = executors::call::decode::<Manifest>(&manifest) else { return };
         self.manifest.replace_if_newer(manifest);
-        self.manifest.note_proof(FreshnessProof::from_peer(proof.version, proof.age_ms, asked_ms));
+        self.manifest.note_proof(FreshnessProof::from_peer(
+            proof.version,
+            proof.age_ms,
+            requested_ms,
+        ));
     }
 
     /// The manifest that callers are authenticated against.
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -92,10 +92,10 @@
         }
     }
 
-    /// Tells the scheduler that another daemon leads now.
-    pub fn depose(&self) {
+    /// Notifies the scheduler that another daemon leads now.
+    pub fn notify_leadership_lost(&self) {
         if self.control.send(Message::LeadershipLost).is_err() {
-            tracing::debug!("cannot depose the scheduler: it has ended");
+            tracing::debug!("cannot notify the scheduler of the lost leadership: it has ended");
         }
     }
 }
--- a/crates/node/src/leader.rs
+++ b/crates/node/src/leader.rs
@@ -67,9 +67,9 @@
 
 /// What the scheduler needs from its daemon.
 #[derive(Debug)]
-pub struct Leader<O> {
+pub struct Leader<P> {
     /// The store, the workers and the advisor.
-    pub outside: Arc<O>,
+    pub platform: Arc<P>,
     /// The leader lease, as it was acquired.
     pub lease: HeldLease,
     /// Limits that the installation sets for the pool.
@@ -77,11 +77,11 @@
     /// Whether the store answers.
     pub health: Arc<StoreHealth>,
     /// Sends the scheduler's queries to the advisor.
-    pub advisors: Arc<AdvisorDispatcher<O>>,
+    pub advisors: Arc<AdvisorDispatcher<P>>,
     /// Connections to other daemons.
     pub peers: Peers,
     /// Has the newest manifest, and answers other daemons' probes of the leader.
-    pub gateway: Arc<Gateway<O>>,
+    pub gateway: Arc<Gateway<P>>,
     /// What other daemons know of this one.
     pub member: Member,
     /// Queries of this daemon's callers and of other daemons.
@@ -90,7 +90,7 @@
     pub stop: tokio::sync::watch::Receiver<bool>,
 }
 
-impl<O: Platform> Leader<O> {
+impl<P: Platform> Leader<P> {
     /// Schedules until another daemon leads or this one stops.
     pub async fn run(mut self) {
         let started_ms = steady_ms();
@@ -99,7 +99,7 @@
         let mut tasks = JoinSet::new();
         let renewed_ms = Arc::new(AtomicU64::new(started_ms));
         tasks.spawn(renew_lease_and_notify(
-            Arc::clone(&self.outside),
+            Arc::clone(&self.platform),
             self.lease.clone(),
             Arc::clone(&self.health),
             messages.clone(),
@@ -107,7 +107,7 @@
             Arc::clone(&renewed_ms),
         ));
         let executors = Arc::new(Executors::new(
-            Arc::clone(&self.outside),
+            Arc::clone(&self.platform),
             self.peers.clone(),
             self.member.clone(),
             epoch,
@@ -210,39 +210,39 @@
         tasks: &mut JoinSet<()>,
         messages: &InboxSender,
         inbox: &mut Inbox,
-        executors: &Arc<Executors<O>>,
-    ) -> Option<(Pool, Arc<Writer<O>>)> {
+        executors: &Arc<Executors<P>>,
+    ) -> Option<(Pool, Arc<Writer<P>>)> {
         let row = &self.lease.row;
         let fence =
             Fence { holder: row.holder.clone(), incarnation: row.incarnation, epoch, beat: 0 };
         let versions = tokio::select! {
-            versions = claim_fences(&self.outside, &self.health, &fence) => versions?,
-            () = wait_until_deposed(inbox) => return None,
+            versions = claim_fences(&self.platform, &self.health, &fence) => versions?,
+            () = wait_until_leadership_lost(inbox) => return None,
         };
         let claimed_version = versions.iter().copied().max().unwrap_or(0).max(self.lease.version);
         let writer = Arc::new(Writer {
-            outside: Arc::clone(&self.outside),
+            platform: Arc::clone(&self.platform),
             health: Arc::clone(&self.health),
             fence,
             fence_versions: Mutex::new(versions),
             messages: messages.clone(),
         });
-        let follower = Arc::new(StoreWatcher {
-            platform: Arc::clone(&self.outside),
+        let store_watcher = Arc::new(StoreWatcher {
+            platform: Arc::clone(&self.platform),
             health: Arc::clone(&self.health),
             messages: messages.clone(),
         });
         let tables = async {
             tokio::join!(
-                follower.load_workers_and_executors(executors),
-                follower.read_at_least(Table::Jobs, claimed_version),
-                follower.read_at_least(Table::Cancels, claimed_version),
-                follower.read_at_least(Table::Progress, claimed_version),
+                store_watcher.load_workers_and_executors(executors),
+                store_watcher.read_at_least(Table::Jobs, claimed_version),
+                store_watcher.read_at_least(Table::Cancels, claimed_version),
+                store_watcher.read_at_least(Table::Progress, claimed_version),
             )
         };
         let (workers, jobs, cancels, progress) = tokio::select! {
             loaded = tables => loaded,
-            () = wait_until_deposed(inbox) => return None,
+            () = wait_until_leadership_lost(inbox) => return None,
         };
         let earlier_extends_ms = self.lease.row.earlier_extends_ms;
         let election = Election { epoch, earlier_extends_ms };
@@ -287,13 +287,13 @@
         for listed in workers.listed {
             pool.handle(steady_ms(), unix_ms(), Event::Listed(listed));
         }
-        tasks.spawn(Arc::clone(&follower).watch_table(Table::Jobs, jobs.version));
-        tasks.spawn(Arc::clone(&follower).watch_table(Table::Cancels, cancels.version));
-        tasks.spawn(Arc::clone(&follower).watch_workers(version));
+        tasks.spawn(Arc::clone(&store_watcher).watch_table(Table::Jobs, jobs.version));
+        tasks.spawn(Arc::clone(&store_watcher).watch_table(Table::Cancels, cancels.version));
+        tasks.spawn(Arc::clone(&store_watcher).watch_workers(version));
         let leads_call = NodeCall::Leads { epoch, address: self.lease.row.address.clone() };
         let (advisors, executors) = (Arc::clone(&self.advisors), Arc::clone(executors));
         let gateway = Arc::clone(&self.gateway);
-        tasks.spawn(follower.track_members(advisors, executors, gateway, leads_call));
+        tasks.spawn(store_watcher.track_members(advisors, executors, gateway, leads_call));
         Some((pool, writer))
     }
 
@@ -301,9 +301,9 @@
         &self,
         effect: Effect,
         pool: &Pool,
-        executors: &Executors<O>,
+        executors: &Executors<P>,
         messages: &InboxSender,
-        writer: &Arc<Writer<O>>,
+        writer: &Arc<Writer<P>>,
         tasks: &mut JoinSet<()>,
     ) {
         let call = |call: WorkerCall| executors.call(pool.zone(call.worker()), call);
@@ -349,7 +349,7 @@
     directory.customers().iter().map(CustomerLimits::of).collect()
 }
 
-async fn wait_until_deposed(inbox: &mut Inbox) {
+async fn wait_until_leadership_lost(inbox: &mut Inbox) {
     while let Some(message) = inbox.recv_control().await {
         if matches!(message, Message::LeadershipLost) {
             return;
@@ -357,16 +357,16 @@
     }
 }
 
-async fn renew_lease_and_notify<O: Platform>(
-    outside: Arc<O>,
+async fn renew_lease_and_notify<P: Platform>(
+    platform: Arc<P>,
     lease: HeldLease,
     health: Arc<StoreHealth>,
     messages: InboxSender,
     stop: tokio::sync::watch::Receiver<bool>,
     renewed_ms: Arc<AtomicU64>,
 ) {
-    renew_lease(outside, lease, health, stop, renewed_ms).await;
-    messages.depose();
+    renew_lease(platform, lease, health, stop, renewed_ms).await;
+    messages.notify_leadership_lost();
 }
 
 /// Handles a message and those queued behind it, as far as the budget allows. Returns `false`
--- a/crates/node/src/leader_view.rs
+++ b/crates/node/src/leader_view.rs
@@ -140,8 +140,8 @@
 }
 
 /// Probes the leader's liveness for as long as this daemon runs.
-pub(crate) async fn probe_leader<O: Platform>(
-    gateway: Arc<Gateway<O>>,
+pub(crate) async fn probe_leader<P: Platform>(
+    gateway: Arc<Gateway<P>>,
     peers: Peers,
     is_underprovisioned: bool,
 ) {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -108,17 +108,17 @@
 
 /// A running daemon.
 #[derive(Debug)]
-pub struct Node<O> {
-    gateway: Arc<Gateway<O>>,
+pub struct Node<P> {
+    gateway: Arc<Gateway<P>>,
     manifest: Arc<CurrentManifest>,
     stop: tokio::sync::watch::Sender<bool>,
     stopped: tokio::sync::watch::Receiver<bool>,
     leading: tokio::sync::watch::Receiver<Option<tokio::sync::mpsc::Sender<Query>>>,
 }
 
-impl<O: Platform> Node<O> {
+impl<P: Platform> Node<P> {
     /// Starts the daemon's tasks. Other daemons connect to `listener`.
-    pub fn start(settings: &NodeSettings, platform: Arc<O>, listener: TcpListener) -> Self {
+    pub fn start(settings: &NodeSettings, platform: Arc<P>, listener: TcpListener) -> Self {
         let health = Arc::new(StoreHealth::default());
         let manifest = Arc::new(CurrentManifest::new(settings.revoke_ms.map(FreshnessLimits::new)));
         let acceptor = Acceptor::start(Arc::clone(&platform), Arc::clone(&health));
@@ -174,7 +174,7 @@
     }
 
     /// The gateway that answers callers.
-    pub fn gateway(&self) -> &Arc<Gateway<O>> {
+    pub fn gateway(&self) -> &Arc<Gateway<P>> {
         &self.gateway
     }
 
@@ -201,7 +201,7 @@
     }
 }
 
-async fn serve_peers<O: Platform>(listener: TcpListener, key: String, gateway: Arc<Gateway<O>>) {
+async fn serve_peers<P: Platform>(listener: TcpListener, key: String, gateway: Arc<Gateway<P>>) {
     let handler = move |call| {
         let gateway = Arc::clone(&gateway);
         async move { gateway.answer(call).await }
--- a/crates/node/src/manifest/current.rs
+++ b/crates/node/src/manifest/current.rs
@@ -85,7 +85,7 @@
         view.manifest.customers.is_none() || view.proof.is_valid(now_ms, &limits)
     }
 
-    /// Whether a new proof has to be asked for.
+    /// Whether a new proof has to be requested.
     pub(crate) fn is_proof_due(&self, now_ms: u64) -> bool {
         let Some(limits) = self.limits else { return false };
         let view = self.view.borrow();
--- a/crates/node/src/manifest/watch.rs
+++ b/crates/node/src/manifest/watch.rs
@@ -69,7 +69,7 @@
     is_leader: impl Fn() -> bool,
 ) {
     let mut confirmations = JoinSet::new();
-    let mut asked_ms = 0;
+    let mut requested_ms = 0;
     loop {
         sleep(CONFIRM_INTERVAL).await;
         while confirmations.try_join_next().is_some() {}
@@ -77,13 +77,13 @@
         let age_ms = current.relayed_proof(now_ms).age_ms;
         metrics::gauge!("stoatwell_manifest_proof_age_ms").set(age_ms as f64);
         let is_leader_due =
-            is_leader() && now_ms >= asked_ms + LEADER_CONFIRM_INTERVAL.as_millis() as u64;
+            is_leader() && now_ms >= requested_ms + LEADER_CONFIRM_INTERVAL.as_millis() as u64;
         let manifest = current.newest();
         let confirm_as_leader = manifest.version > 0 && is_leader_due;
         if !confirm_as_leader && !current.is_proof_due(now_ms) {
             continue;
         }
-        asked_ms = now_ms;
+        requested_ms = now_ms;
         let platform = Arc::clone(&platform);
         let current = Arc::clone(&current);
         confirmations.spawn(async move {
--- a/crates/node/tests/customers.rs
+++ b/crates/node/tests/customers.rs
@@ -1,4 +1,4 @@
-//! Customers and their keys, over a store in memory.
+//! Authentication of customers and access to their jobs, with an in-memory store.
 
 mod fake;
 
@@ -22,14 +22,14 @@
 use stoatwell_pool::JobSpec;
 use stoatwell_pool::JobState;
 
-use self::fake::Fake;
-use self::fake::Mood;
-use self::fake::daemon::in_ms;
+use self::fake::FakePlatform;
+use self::fake::StoreBehavior;
+use self::fake::daemon::deadline_in;
 use self::fake::daemon::job;
-use self::fake::daemon::start_with;
-use self::fake::daemon::until;
+use self::fake::daemon::start_with_revocation;
+use self::fake::daemon::wait_until;
 
-/// Keys stop working this long after they were taken away.
+/// A revoked key stops working within this time.
 const REVOKE_MS: u64 = 2_000;
 
 fn manifest(version: u64, keys: &[(&str, &str)]) -> Manifest {
@@ -39,7 +39,7 @@
         cap: Resources::ZERO,
         keys: vec![KeyHash::of(key)],
     });
-    let customers = Directory::new(customers.collect()).expect("sound");
+    let customers = Directory::new(customers.collect()).expect("a valid directory");
     Manifest { version, customers: Some(customers), ..Manifest::default() }
 }
 
@@ -53,96 +53,96 @@
     }
 }
 
-fn owned(customer: &str) -> JobSpec {
+fn job_of(customer: &str) -> JobSpec {
     let name = CustomerName::new(customer);
     let limits = CustomerLimits { name, weight: 10.0, cap: Resources::ZERO };
     JobSpec { customer: Some(limits), ..job() }
 }
 
-/// Who is let in with a key now.
-fn admit(node: &Node<Fake>, key: &str) -> Result<Option<CustomerName>, Denied> {
+/// The customer that a key is admitted as at present.
+fn admit(node: &Node<FakePlatform>, key: &str) -> Result<Option<CustomerName>, Denied> {
     let manifest = node.manifest().newest();
     let customer = node.manifest().admit(&manifest, &queue(false), Some(key))?;
     Ok(customer.map(|customer| customer.name.clone()))
 }
 
-async fn start(name: &str, store: &Arc<Fake>) -> Node<Fake> {
-    start_with(name, store, Some(REVOKE_MS)).await
+async fn start(name: &str, store: &Arc<FakePlatform>) -> Node<FakePlatform> {
+    start_with_revocation(name, store, Some(REVOKE_MS)).await
 }
 
 #[tokio::test]
-async fn only_known_keys_are_let_in() {
-    let store = Arc::new(Fake::default());
+async fn only_known_keys_are_admitted() {
+    let store = Arc::new(FakePlatform::default());
     store.write_manifest(manifest(1, &[("a", "k1"), ("b", "k2")]));
     let node = start("a", &store).await;
-    until("a proof", 2_000, || matches!(admit(&node, "k1"), Ok(Some(_)))).await;
+    wait_until("a proof", 2_000, || matches!(admit(&node, "k1"), Ok(Some(_)))).await;
     assert_eq!(admit(&node, "k2"), Ok(Some(CustomerName::new("b"))));
     assert_eq!(admit(&node, "k3"), Err(Denied::UnknownKey));
     let manifest = node.manifest().newest();
-    let open = node.manifest().admit(&manifest, &queue(true), None);
-    assert!(matches!(open, Ok(None)), "{open:?}");
-    let without = node.manifest().admit(&manifest, &queue(false), None);
-    assert!(matches!(without, Err(Denied::UnknownKey)), "{without:?}");
+    let anonymous = node.manifest().admit(&manifest, &queue(true), None);
+    assert!(matches!(anonymous, Ok(None)), "{anonymous:?}");
+    let without_key = node.manifest().admit(&manifest, &queue(false), None);
+    assert!(matches!(without_key, Err(Denied::UnknownKey)), "{without_key:?}");
 }
 
-/// Guards against a daemon that the store turns away and that refuses all its callers,
-/// though the leader knows that their keys are good.
+/// Guards against a daemon that denies all callers while the store refuses its requests,
+/// although the leader can confirm that their keys are valid.
 #[tokio::test]
-async fn a_daemon_without_the_store_goes_by_the_leaders_proof() {
-    let store = Arc::new(Fake::default());
+async fn a_daemon_without_the_store_uses_the_leaders_proof() {
+    let store = Arc::new(FakePlatform::default());
     store.write_manifest(manifest(1, &[("a", "k1")]));
     let leader = start("a", &store).await;
-    until("a leader", 3_000, || leader.scheduler().is_some()).await;
-    let store_of_other = Arc::new(store.for_another());
-    let other = start("b", &store_of_other).await;
-    until("a proof", 2_000, || matches!(admit(&other, "k1"), Ok(Some(_)))).await;
-    store_of_other.set(Mood::TurnsAway);
-    let end = in_ms(REVOKE_MS * 2);
+    wait_until("a leader", 3_000, || leader.scheduler().is_some()).await;
+    let other_store = Arc::new(store.for_other_daemon());
+    let other = start("b", &other_store).await;
+    wait_until("a proof", 2_000, || matches!(admit(&other, "k1"), Ok(Some(_)))).await;
+    other_store.set_behavior(StoreBehavior::RefusesAll);
+    let end = deadline_in(REVOKE_MS * 2);
     while tokio::time::Instant::now() < end {
         assert_eq!(admit(&other, "k1"), Ok(Some(CustomerName::new("a"))));
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    // The leader hands on a newer version as well.
+    // A newer manifest is relayed by the leader as well.
     store.write_manifest(manifest(2, &[("a", "k9")]));
-    until("the newer manifest", REVOKE_MS, || admit(&other, "k1").is_err()).await;
+    wait_until("the newer manifest", REVOKE_MS, || admit(&other, "k1").is_err()).await;
     assert_eq!(admit(&other, "k9"), Ok(Some(CustomerName::new("a"))));
 }
 
-/// Guards against a key that goes on working at a daemon that hears of nothing.
+/// Guards against a revoked key that keeps working at a daemon without store and leader.
 #[tokio::test]
-async fn a_daemon_on_its_own_lets_nobody_in_after_a_time() {
-    let store = Arc::new(Fake::default());
+async fn an_isolated_daemon_admits_nobody_after_the_revocation_time() {
+    let store = Arc::new(FakePlatform::default());
     store.write_manifest(manifest(1, &[("a", "k1")]));
     let node = start("a", &store).await;
-    until("a proof", 2_000, || matches!(admit(&node, "k1"), Ok(Some(_)))).await;
-    store.set(Mood::TurnsAway);
-    let cut_ms = steady_ms();
-    until("nobody let in", REVOKE_MS, || admit(&node, "k1") == Err(Denied::Unconfirmed)).await;
-    assert!(steady_ms() < cut_ms + REVOKE_MS);
-    store.set(Mood::Well);
-    until("a new proof", 1_000, || matches!(admit(&node, "k1"), Ok(Some(_)))).await;
+    wait_until("a proof", 2_000, || matches!(admit(&node, "k1"), Ok(Some(_)))).await;
+    store.set_behavior(StoreBehavior::RefusesAll);
+    let isolated_ms = steady_ms();
+    wait_until("the denial", REVOKE_MS, || admit(&node, "k1") == Err(Denied::Unconfirmed)).await;
+    assert!(steady_ms() < isolated_ms + REVOKE_MS);
+    store.set_behavior(StoreBehavior::Normal);
+    wait_until("a new proof", 1_000, || matches!(admit(&node, "k1"), Ok(Some(_)))).await;
 }
 
-/// Guards against a customer that learns of another one's jobs, or cancels them.
+/// Guards against a customer that sees or cancels jobs of another one.
 #[tokio::test]
-async fn jobs_of_others_are_as_if_they_were_not_there() {
-    let store = Arc::new(Fake::default());
+async fn jobs_of_other_customers_are_hidden() {
+    let store = Arc::new(FakePlatform::default());
     let node = start("a", &store).await;
-    until("a leader", 3_000, || node.scheduler().is_some()).await;
+    wait_until("a leader", 3_000, || node.scheduler().is_some()).await;
     let gateway = node.gateway();
     let [a, b] = ["a", "b"].map(CustomerName::new);
-    assert_eq!(gateway.submit(JobId(7), &owned("a"), in_ms(2_000)).await, Accepted::Yes);
+    assert_eq!(gateway.submit(JobId(7), &job_of("a"), deadline_in(2_000)).await, Accepted::Yes);
     let queued = JobLookup::State(JobState::Queued);
     assert_eq!(gateway.state(JobId(7), Some(&a)).await, queued);
-    for stranger in [Some(&b), None] {
-        assert_eq!(gateway.state(JobId(7), stranger).await, JobLookup::NoJob);
-        assert_eq!(gateway.cancel(JobId(7), stranger, in_ms(2_000)).await, None);
+    for other_customer in [Some(&b), None] {
+        assert_eq!(gateway.state(JobId(7), other_customer).await, JobLookup::NoJob);
+        assert_eq!(gateway.cancel(JobId(7), other_customer, deadline_in(2_000)).await, None);
     }
-    assert_eq!(gateway.submit(JobId(7), &owned("b"), in_ms(2_000)).await, Accepted::Taken);
+    assert_eq!(gateway.submit(JobId(7), &job_of("b"), deadline_in(2_000)).await, Accepted::Taken);
     assert_eq!(gateway.state(JobId(7), Some(&a)).await, queued);
     node.stop().await;
-    // Without a leader the rows tell the same.
+    // Without a leader the daemon decides by the rows, with the same results.
     assert_eq!(gateway.state(JobId(7), Some(&b)).await, JobLookup::NoJob);
-    assert_eq!(gateway.submit(JobId(7), &owned("b"), in_ms(2_000)).await, Accepted::Taken);
+    assert_eq!(gateway.submit(JobId(7), &job_of("b"), deadline_in(2_000)).await, Accepted::Taken);
     assert_eq!(gateway.state(JobId(7), Some(&a)).await, queued);
 }
--- a/crates/node/tests/daemons.rs
+++ b/crates/node/tests/daemons.rs
@@ -1,4 +1,4 @@
-//! Daemons over a store in memory.
+//! Whole daemons with an in-memory store.
 
 mod fake;
 
@@ -21,145 +21,152 @@
 use stoatwell_pool::StepSpec;
 use tokio::time::Instant;
 
-use self::fake::Fake;
-use self::fake::Mood;
-use self::fake::daemon::in_ms;
+use self::fake::FakePlatform;
+use self::fake::StoreBehavior;
+use self::fake::daemon::deadline_in;
 use self::fake::daemon::job;
 use self::fake::daemon::start;
-use self::fake::daemon::until;
+use self::fake::daemon::wait_until;
 
-fn view(state: JobState) -> JobView {
+fn job_view(state: JobState) -> JobView {
     JobView { state, customer: None }
 }
 
-/// The answer to the write that accepts a job is lost on its way. The daemon
-/// tries again under the condition that there is no such job and learns that
-/// it is durable; a caller told "not accepted" would hand it in twice.
+/// The response to the write that accepts a job is lost. Guards against a caller that
+/// submits a job twice because it was told "not accepted": the daemon repeats the write on
+/// the condition that there is no such job, and so finds that it is durable.
 #[tokio::test]
-async fn a_lost_answer_of_the_store_still_accepts() {
-    let store = Arc::new(Fake::default());
+async fn a_job_is_accepted_when_the_stores_response_is_lost() {
+    let store = Arc::new(FakePlatform::default());
     let node = start("a", &store).await;
-    until("a scheduler", 3_000, || node.scheduler().is_some()).await;
-    store.set(Mood::LosesOneAnswer);
-    let accepted = node.gateway().submit(JobId(7), &job(), in_ms(2_000)).await;
+    wait_until("a leader", 3_000, || node.scheduler().is_some()).await;
+    store.set_behavior(StoreBehavior::LosesOneResponse);
+    let accepted = node.gateway().submit(JobId(7), &job(), deadline_in(2_000)).await;
     assert_eq!(accepted, Accepted::Yes);
     assert_eq!(store.rows(Table::Jobs).len(), 1);
 }
 
-/// The same job arrives twice, as when the first answer did not reach its
-/// caller. It stays one job.
+/// Guards against a job that is stored twice because its caller did not get the first
+/// response and submitted it again.
 #[tokio::test]
-async fn the_same_job_again_is_one_job() {
-    let store = Arc::new(Fake::default());
+async fn a_repeated_submission_is_one_job() {
+    let store = Arc::new(FakePlatform::default());
     let node = start("a", &store).await;
-    assert_eq!(node.gateway().submit(JobId(7), &job(), in_ms(2_000)).await, Accepted::Yes);
-    assert_eq!(node.gateway().submit(JobId(7), &job(), in_ms(2_000)).await, Accepted::Yes);
+    assert_eq!(node.gateway().submit(JobId(7), &job(), deadline_in(2_000)).await, Accepted::Yes);
+    assert_eq!(node.gateway().submit(JobId(7), &job(), deadline_in(2_000)).await, Accepted::Yes);
     assert_eq!(store.rows(Table::Jobs).len(), 1);
 }
 
-/// The store refuses writes. The caller is told that the job was not accepted,
-/// which is true, and soon enough to go elsewhere.
+/// The store refuses writes. Guards against a caller that is told so too late to submit the
+/// job elsewhere, or is told so although the job was stored.
 #[tokio::test]
-async fn a_refusing_store_refuses_jobs_truthfully() {
-    let store = Arc::new(Fake::default());
+async fn jobs_are_refused_while_the_store_refuses_writes() {
+    let store = Arc::new(FakePlatform::default());
     let node = start("a", &store).await;
-    until("a scheduler", 3_000, || node.scheduler().is_some()).await;
-    store.set(Mood::Refuses);
+    wait_until("a leader", 3_000, || node.scheduler().is_some()).await;
+    store.set_behavior(StoreBehavior::RefusesWrites);
     let began = Instant::now();
-    assert_eq!(node.gateway().submit(JobId(7), &job(), in_ms(3_000)).await, Accepted::No);
+    assert_eq!(node.gateway().submit(JobId(7), &job(), deadline_in(3_000)).await, Accepted::No);
     assert!(began.elapsed() < Duration::from_millis(800), "{:?}", began.elapsed());
     assert!(store.rows(Table::Jobs).is_empty());
 }
 
-/// The store falls silent with a write under way. Its caller is told before
-/// the deadline that nobody knows; callers after it are refused at once, since
-/// their jobs were never sent anywhere, instead of waiting for nothing.
+/// The store stops responding while a write is in flight. Its caller has to be told before
+/// the deadline that the outcome is unknown. Guards against later callers that wait although
+/// their jobs were not sent to the store: they are refused at once.
 #[tokio::test]
-async fn a_silent_store_holds_nobody_up() {
-    let store = Arc::new(Fake::default());
+async fn an_unresponsive_store_does_not_block_callers() {
+    let store = Arc::new(FakePlatform::default());
     let node = start("a", &store).await;
-    until("a scheduler", 3_000, || node.scheduler().is_some()).await;
-    store.set(Mood::Silent);
+    wait_until("a leader", 3_000, || node.scheduler().is_some()).await;
+    store.set_behavior(StoreBehavior::Unresponsive);
     let gateway = Arc::clone(node.gateway());
-    let first = tokio::spawn(async move { gateway.submit(JobId(7), &job(), in_ms(2_800)).await });
+    let first =
+        tokio::spawn(async move { gateway.submit(JobId(7), &job(), deadline_in(2_800)).await });
     tokio::time::sleep(Duration::from_millis(600)).await;
     let began = Instant::now();
-    assert_eq!(node.gateway().submit(JobId(8), &job(), in_ms(2_800)).await, Accepted::No);
+    assert_eq!(node.gateway().submit(JobId(8), &job(), deadline_in(2_800)).await, Accepted::No);
     assert!(began.elapsed() < Duration::from_millis(50), "{:?}", began.elapsed());
     assert_eq!(first.await.expect("no panic"), Accepted::Unknown);
     assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
 }
 
-/// The scheduler's daemon stops. It gives the duty up and another one takes it
-/// over within half a second; a user notices nothing.
+/// Guards against callers who notice that the leader stops: it releases the leader lease,
+/// and another daemon leads within half a second.
 #[tokio::test]
-async fn a_stopping_scheduler_hands_the_duty_over() {
-    let store = Arc::new(Fake::default());
+async fn a_stopping_leader_releases_the_leader_lease() {
+    let store = Arc::new(FakePlatform::default());
     let first = start("a", &store).await;
-    until("a scheduler", 3_000, || first.scheduler().is_some()).await;
+    wait_until("a leader", 3_000, || first.scheduler().is_some()).await;
     let second = start("b", &store).await;
-    assert_eq!(second.gateway().submit(JobId(7), &job(), in_ms(2_000)).await, Accepted::Yes);
+    assert_eq!(second.gateway().submit(JobId(7), &job(), deadline_in(2_000)).await, Accepted::Yes);
     first.stop().await;
-    until("the next scheduler", 1_000, || second.scheduler().is_some()).await;
+    wait_until("the next leader", 1_000, || second.scheduler().is_some()).await;
     assert_eq!(second.gateway().state(JobId(7), None).await, JobLookup::State(JobState::Queued));
 }
 
-/// A caller asks a daemon that does not schedule, about jobs there are and
-/// jobs there are not.
+/// Guards against daemons that can report or cancel jobs only while they lead, and against
+/// wrong replies about jobs that do not exist.
 #[tokio::test]
-async fn any_daemon_tells_where_a_job_stands() {
-    let store = Arc::new(Fake::default());
+async fn any_daemon_reports_and_cancels_jobs() {
+    let store = Arc::new(FakePlatform::default());
     let first = start("a", &store).await;
-    until("a scheduler", 3_000, || first.scheduler().is_some()).await;
+    wait_until("a leader", 3_000, || first.scheduler().is_some()).await;
     let second = start("b", &store).await;
-    assert_eq!(first.gateway().submit(JobId(7), &job(), in_ms(2_000)).await, Accepted::Yes);
+    assert_eq!(first.gateway().submit(JobId(7), &job(), deadline_in(2_000)).await, Accepted::Yes);
     assert_eq!(second.gateway().state(JobId(7), None).await, JobLookup::State(JobState::Queued));
     assert_eq!(second.gateway().state(JobId(8), None).await, JobLookup::NoJob);
-    assert_eq!(second.gateway().cancel(JobId(7), None, in_ms(2_000)).await, Some(Accepted::Yes));
-    assert_eq!(second.gateway().cancel(JobId(8), None, in_ms(2_000)).await, None);
+    assert_eq!(
+        second.gateway().cancel(JobId(7), None, deadline_in(2_000)).await,
+        Some(Accepted::Yes)
+    );
+    assert_eq!(second.gateway().cancel(JobId(8), None, deadline_in(2_000)).await, None);
     tokio::time::sleep(Duration::from_millis(400)).await;
     assert_eq!(second.gateway().state(JobId(7), None).await, JobLookup::State(JobState::Cancelled));
 }
 
-/// The store answers a new scheduler's first readings with what was there before
-/// the duty changed hands. The scheduler reads again; it would otherwise take a
-/// job that is done for one that nobody has begun, and run it a second time.
+/// The store answers the first reads of a new leader with the state from before it acquired
+/// the lease. Guards against a completed job that runs a second time because it looks
+/// unstarted in stale rows: the leader has to read again.
 #[tokio::test]
-async fn a_new_scheduler_does_not_trust_an_old_state() {
-    let store = Arc::new(Fake::default());
+async fn a_new_leader_ignores_stale_reads() {
+    let store = Arc::new(FakePlatform::default());
     let first = start("a", &store).await;
-    until("a scheduler", 3_000, || first.scheduler().is_some()).await;
-    assert_eq!(first.gateway().submit(JobId(7), &job(), in_ms(2_000)).await, Accepted::Yes);
-    store.remember();
+    wait_until("a leader", 3_000, || first.scheduler().is_some()).await;
+    assert_eq!(first.gateway().submit(JobId(7), &job(), deadline_in(2_000)).await, Accepted::Yes);
+    store.save_snapshot();
     let done = Progress { outcome: Some(Outcome::Completed), ..Progress::default() };
     let value = serde_json::to_vec(&done).expect("a row");
     let put = vec![(Table::Progress, JobId(7).to_string(), value)];
     store.transact(&Transaction { put, ..Transaction::default() }).await.expect("written");
     first.stop().await;
-    store.answer_old_readings(2, Table::Progress);
+    store.serve_snapshot(2, Table::Progress);
     let second = start("b", &store).await;
-    until("the next scheduler", 3_000, || second.scheduler().is_some()).await;
-    let (answer, answered) = tokio::sync::oneshot::channel();
-    let queries = second.scheduler().expect("it schedules");
-    queries.send(Query::State(JobId(7), answer)).await.expect("it listens");
-    assert_eq!(answered.await.expect("it answers"), Some(view(JobState::Completed)));
+    wait_until("the next leader", 3_000, || second.scheduler().is_some()).await;
+    let (reply_sender, reply) = tokio::sync::oneshot::channel();
+    let queries = second.scheduler().expect("it leads");
+    queries.send(Query::State(JobId(7), reply_sender)).await.expect("the scheduler is running");
+    assert_eq!(reply.await.expect("a reply"), Some(job_view(JobState::Completed)));
 }
 
-/// The scheduler's process is killed. Its row says nothing of it for a while, but the
-/// other daemons miss it at once, and callers wait no longer than a breath.
+/// The leader's process is killed. Guards against callers that wait until its lease has
+/// expired: the other daemons notice at once that it does not respond.
 #[test]
-fn a_killed_scheduler_is_replaced_within_a_second_and_a_half() {
-    let store = Arc::new(Fake::default());
-    let doomed = tokio::runtime::Runtime::new().expect("a runtime");
-    let first = doomed.block_on(start("a", &store));
-    let others = tokio::runtime::Runtime::new().expect("a runtime");
-    others.block_on(async {
-        until("a scheduler", 3_000, || first.scheduler().is_some()).await;
+fn a_killed_leader_is_replaced_within_a_second_and_a_half() {
+    let store = Arc::new(FakePlatform::default());
+    let first_runtime = tokio::runtime::Runtime::new().expect("a runtime");
+    let first = first_runtime.block_on(start("a", &store));
+    let second_runtime = tokio::runtime::Runtime::new().expect("a runtime");
+    second_runtime.block_on(async {
+        wait_until("a leader", 3_000, || first.scheduler().is_some()).await;
         let second = start("b", &store).await;
-        assert_eq!(second.gateway().submit(JobId(7), &job(), in_ms(2_000)).await, Accepted::Yes);
+        assert_eq!(
+            second.gateway().submit(JobId(7), &job(), deadline_in(2_000)).await,
+            Accepted::Yes
+        );
         tokio::time::sleep(Duration::from_millis(600)).await;
-        doomed.shutdown_background();
-        until("the next scheduler", 1_500, || second.scheduler().is_some()).await;
+        first_runtime.shutdown_background();
+        wait_until("the next leader", 1_500, || second.scheduler().is_some()).await;
         assert_eq!(
             second.gateway().state(JobId(7), None).await,
             JobLookup::State(JobState::Queued)
@@ -167,83 +174,83 @@
     });
 }
 
-/// The store falls silent and swallows every call for some seconds, then is back. The
-/// first caller after that is served at once, though calls that were swallowed still
-/// wait for their answers, and the scheduler is the one there was.
+/// The store does not respond for some seconds and then recovers. Guards against callers
+/// that have to wait because earlier requests still wait for their responses, and against a
+/// change of leader.
 #[tokio::test]
-async fn the_return_of_a_silent_store_is_noticed_at_once() {
-    let store = Arc::new(Fake::default());
+async fn the_recovery_of_an_unresponsive_store_is_noticed_at_once() {
+    let store = Arc::new(FakePlatform::default());
     let node = start("a", &store).await;
-    until("a scheduler", 3_000, || node.scheduler().is_some()).await;
+    wait_until("a leader", 3_000, || node.scheduler().is_some()).await;
     let other = start("b", &store).await;
-    store.set(Mood::Silent);
+    store.set_behavior(StoreBehavior::Unresponsive);
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     assert!(!node.gateway().is_store_up());
-    store.set(Mood::Well);
-    until("the return", 250, || node.gateway().is_store_up()).await;
+    store.set_behavior(StoreBehavior::Normal);
+    wait_until("the recovery", 250, || node.gateway().is_store_up()).await;
     let began = Instant::now();
-    assert_eq!(node.gateway().submit(JobId(8), &job(), in_ms(2_000)).await, Accepted::Yes);
+    assert_eq!(node.gateway().submit(JobId(8), &job(), deadline_in(2_000)).await, Accepted::Yes);
     assert!(began.elapsed() < Duration::from_millis(200), "{:?}", began.elapsed());
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert!(node.scheduler().is_some() && other.scheduler().is_none());
 }
 
-/// The store turns the scheduler's machine and another one away, and serves the third.
-/// The third schedules soon, and the other one learns that from it, not from the store:
-/// its callers are served through it instead of being refused until the store is back.
+/// The store refuses requests of the leader and of a second daemon, and serves a third one,
+/// which becomes the leader. Guards against a second daemon that refuses its callers until
+/// the store serves it again: it learns of the leader from the leader itself and forwards
+/// requests to it.
 #[tokio::test]
-async fn daemons_without_the_store_learn_who_schedules() {
-    let store = Arc::new(Fake::default());
+async fn daemons_without_the_store_find_the_leader() {
+    let store = Arc::new(FakePlatform::default());
     let first = start("a", &store).await;
-    until("a scheduler", 3_000, || first.scheduler().is_some()).await;
-    let away = Arc::new(store.for_another());
-    let second = start("b", &away).await;
-    let third = start("c", &Arc::new(store.for_another())).await;
+    wait_until("a leader", 3_000, || first.scheduler().is_some()).await;
+    let unreachable_store = Arc::new(store.for_other_daemon());
+    let second = start("b", &unreachable_store).await;
+    let third = start("c", &Arc::new(store.for_other_daemon())).await;
     tokio::time::sleep(Duration::from_millis(600)).await;
-    store.set(Mood::TurnsAway);
-    away.set(Mood::TurnsAway);
-    until("the next scheduler", 2_000, || third.scheduler().is_some()).await;
+    store.set_behavior(StoreBehavior::RefusesAll);
+    unreachable_store.set_behavior(StoreBehavior::RefusesAll);
+    wait_until("the next leader", 2_000, || third.scheduler().is_some()).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
-    assert_eq!(second.gateway().submit(JobId(9), &job(), in_ms(2_000)).await, Accepted::Yes);
+    assert_eq!(second.gateway().submit(JobId(9), &job(), deadline_in(2_000)).await, Accepted::Yes);
     assert_eq!(second.gateway().state(JobId(9), None).await, JobLookup::State(JobState::Queued));
 }
 
-/// A worker answers hundreds of starts at one moment, as after a store outage that held
-/// all of them up. Each answer is taken in; a task whose answer is lost keeps its room,
-/// is looked at by nobody and never runs, however empty the workers are.
+/// A worker answers hundreds of starts at the same time, as after a store outage that
+/// delayed all of them. Guards against an answer that is dropped: its task would keep its
+/// allocation, would not be examined again and would never run, however idle the workers are.
 #[tokio::test]
 async fn no_answer_of_many_at_one_moment_is_lost() {
     const TASKS: usize = 900;
-    let store = Arc::new(Fake::with_worker());
+    let store = Arc::new(FakePlatform::with_worker());
     let node = start("a", &store).await;
-    until("a scheduler", 3_000, || node.scheduler().is_some()).await;
+    wait_until("a leader", 3_000, || node.scheduler().is_some()).await;
     let step = StepSpec { tasks: TASKS as u32, ..StepSpec::default() };
     let wide = JobSpec { steps: vec![step], ..job() };
-    assert_eq!(node.gateway().submit(JobId(7), &wide, in_ms(2_000)).await, Accepted::Yes);
-    until("all starts", 5_000, || store.first_starts() == TASKS).await;
+    assert_eq!(node.gateway().submit(JobId(7), &wide, deadline_in(2_000)).await, Accepted::Yes);
+    wait_until("all starts", 5_000, || store.first_starts_received() == TASKS).await;
     store.answer_first_starts();
-    let end = in_ms(8_000);
+    let end = deadline_in(8_000);
     while node.gateway().state(JobId(7), None).await != JobLookup::State(JobState::Completed) {
         assert!(Instant::now() < end, "the job is not completed");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// Guards against a batch of a former leader that is carried out late and puts old progress
-/// over new.
+/// Guards against a late batch of a former leader that overwrites newer progress.
 #[tokio::test]
 async fn a_former_leaders_write_has_no_effect() {
-    let store = Arc::new(Fake::default());
+    let store = Arc::new(FakePlatform::default());
     let first = start("a", &store).await;
-    until("a leader", 3_000, || first.scheduler().is_some()).await;
-    assert_eq!(first.gateway().submit(JobId(7), &job(), in_ms(2_000)).await, Accepted::Yes);
+    wait_until("a leader", 3_000, || first.scheduler().is_some()).await;
+    assert_eq!(first.gateway().submit(JobId(7), &job(), deadline_in(2_000)).await, Accepted::Yes);
     let fences = store.rows(Table::Fences);
     let fence = fences.iter().find(|row| row.key == JobId(7).partition().to_string());
-    let expected = fence.expect("each part has a fence").version;
+    let expected = fence.expect("each partition has a fence").version;
     first.stop().await;
     let second = start("b", &store).await;
-    until("the next leader", 3_000, || second.scheduler().is_some()).await;
-    until("its fences", 3_000, || {
+    wait_until("the next leader", 3_000, || second.scheduler().is_some()).await;
+    wait_until("its fences", 3_000, || {
         store.rows(Table::Fences).iter().all(|row| row.version > expected)
     })
     .await;
--- /dev/null
+++ b/crates/node/tests/election.rs
@@ -0,0 +1,158 @@
+//! When a daemon may claim the leader lease.
+
+use stoatwell_node::Candidate;
+use stoatwell_node::FAILED_LEADER_TIMEOUT_MS;
+use stoatwell_node::LEADER_LEASE_MS;
+use stoatwell_node::LeaderLease;
+use stoatwell_node::LeaderLeaseView;
+use stoatwell_node::Liveness;
+use stoatwell_node::probe_interval;
+use stoatwell_pool::EXTENSION_WINDOW_MS;
+
+fn candidate(name: &str, store_answer_ms: u64) -> Candidate {
+    Candidate { name: name.to_owned(), cores: 0.5, link_mbps: 1_000.0, store_answer_ms }
+}
+
+fn lease_row(holder: &str) -> LeaderLease {
+    LeaderLease {
+        holder: holder.to_owned(),
+        incarnation: 1,
+        address: "10.0.0.1:7720".to_owned(),
+        epoch: 3,
+        beat: 0,
+        released: false,
+        earlier_extends_ms: 0,
+    }
+}
+
+/// The leader crashes and its row stops changing. Guards against two leaders at once: no
+/// daemon may claim the lease while its holder could still renew it.
+#[test]
+fn a_holder_without_renewals_keeps_the_lease_until_it_expires() {
+    let mut view = LeaderLeaseView::new(0);
+    view.observe(Some((lease_row("other"), 10)), 1_000);
+    assert!(view.claim_ms(&candidate("me", 5), Liveness::Unknown) >= 1_000 + LEADER_LEASE_MS);
+    view.observe(Some((lease_row("other"), 11)), 1_500);
+    assert!(view.claim_ms(&candidate("me", 5), Liveness::Unknown) >= 1_500 + LEADER_LEASE_MS);
+    view.observe(Some((lease_row("other"), 11)), 2_500);
+    assert!(
+        view.claim_ms(&candidate("me", 5), Liveness::Unknown) < 2_500 + LEADER_LEASE_MS,
+        "the same version is no renewal"
+    );
+}
+
+/// Guards against a wait for a lease that was released or that a former process of the same
+/// daemon held.
+#[test]
+fn a_free_lease_is_claimed_at_once() {
+    let mut view = LeaderLeaseView::new(0);
+    view.observe(Some((LeaderLease { released: true, ..lease_row("other") }, 10)), 1_000);
+    assert!(view.claim_ms(&candidate("me", 5), Liveness::Unknown) < 1_000 + 200);
+    view.observe(Some((lease_row("me"), 12)), 2_000);
+    assert!(view.claim_ms(&candidate("me", 5), Liveness::Unknown) < 2_000 + 200);
+    assert_eq!(view.next_epoch(), (12, 4));
+}
+
+/// The daemon with the lowest store latency and the most CPU and bandwidth claims first, as
+/// each write of the leader waits for the store and each call costs CPU time.
+#[test]
+fn the_strongest_candidate_claims_first() {
+    let near = candidate("a", 8).claim_delay_ms();
+    let far = candidate("a", 32).claim_delay_ms();
+    let weak = Candidate { cores: 0.12, ..candidate("a", 8) }.claim_delay_ms();
+    let narrow = Candidate { link_mbps: 10.0, ..candidate("a", 8) }.claim_delay_ms();
+    assert!(near + 100 < far && near + 100 < weak && near + 100 < narrow);
+}
+
+/// A leader that no longer responds may still be alive and extend leases of workers that
+/// others cannot reach. Guards against tasks that run twice: its successor waits until it has
+/// stopped extending them. A leader that released the lease, or was a former process of the
+/// same daemon, extends none, so that nothing has to wait for it.
+#[test]
+fn a_claim_states_how_long_earlier_leaders_may_extend_leases() {
+    let mut view = LeaderLeaseView::new(0);
+    assert_eq!(view.earlier_extends_ms("me", 500), 0, "there was no earlier leader");
+    view.observe(Some((lease_row("other"), 10)), 1_000);
+    let after_lease_ms = view.earlier_extends_ms("me", 1_000 + LEADER_LEASE_MS);
+    assert!(
+        (EXTENSION_WINDOW_MS - LEADER_LEASE_MS..=EXTENSION_WINDOW_MS).contains(&after_lease_ms)
+    );
+    view.observe(Some((lease_row("me"), 11)), 3_000);
+    assert_eq!(view.earlier_extends_ms("me", 3_100), 0);
+    view.observe(Some((LeaderLease { released: true, ..lease_row("other") }, 12)), 4_000);
+    assert_eq!(view.earlier_extends_ms("me", 4_050), 0);
+    // The leader before the last one may still be alive.
+    let earlier = LeaderLease { released: true, earlier_extends_ms: 2_000, ..lease_row("other") };
+    view.observe(Some((earlier, 13)), 5_000);
+    assert_eq!(view.earlier_extends_ms("me", 5_500), 1_500);
+}
+
+/// The leader was killed, or the store refuses its requests and it reports so when probed.
+/// Jobs wait until another daemon leads, so its row needs to be unchanged only for longer
+/// than the renewal interval. Guards against the replacement of a holder that is alive and
+/// only unreachable for others: it continues to renew the row.
+#[test]
+fn a_failed_or_isolated_holder_is_replaced_soon() {
+    for liveness in [Liveness::Gone, Liveness::Isolated] {
+        let mut view = LeaderLeaseView::new(0);
+        view.observe(Some((lease_row("other"), 10)), 1_000);
+        let claim_ms = view.claim_ms(&candidate("me", 5), liveness);
+        assert!(
+            (1_000 + FAILED_LEADER_TIMEOUT_MS..1_900).contains(&claim_ms),
+            "{liveness}: {claim_ms}"
+        );
+        view.observe(Some((lease_row("other"), 11)), 1_500);
+        assert!(view.claim_ms(&candidate("me", 5), liveness) >= 1_500 + FAILED_LEADER_TIMEOUT_MS);
+    }
+}
+
+/// The store is unavailable for seconds, and no daemon can renew the row meanwhile. Guards
+/// against a change of leader after each outage, for which callers would have to wait in
+/// addition: that the row did not change says nothing about its holder.
+#[test]
+fn time_without_the_store_does_not_count_against_the_holder() {
+    let mut view = LeaderLeaseView::new(0);
+    view.observe(Some((lease_row("other"), 10)), 1_000);
+    view.note_unwritable(5_000);
+    assert!(view.claim_ms(&candidate("me", 5), Liveness::Healthy) >= 5_000 + LEADER_LEASE_MS);
+    assert!(
+        view.claim_ms(&candidate("me", 5), Liveness::Isolated) >= 5_000 + FAILED_LEADER_TIMEOUT_MS
+    );
+}
+
+/// Guards against a leader that is kept busy by the liveness probes of hundreds of daemons.
+#[test]
+fn weak_daemons_of_a_large_pool_probe_rarely() {
+    let probes_per_s = |is_underprovisioned: bool, daemons: u32| {
+        f64::from(daemons) / probe_interval(is_underprovisioned, daemons).as_secs_f64()
+    };
+    assert!(probes_per_s(true, 130) <= 101.0);
+    assert!(probe_interval(true, 1_000).as_secs() <= 2);
+    assert_eq!(probe_interval(false, 147), probe_interval(false, 9));
+    assert_eq!(probe_interval(true, 9), probe_interval(false, 9));
+}
+
+/// Guards against all daemons claiming again and again while the row's partition of the store
+/// is down, so that the first one to succeed leads afterwards, however weak it is.
+#[test]
+fn after_a_failed_claim_the_holder_and_the_strongest_candidates_go_first() {
+    let weak = Candidate { cores: 0.12, link_mbps: 10.0, ..candidate("weak", 5) };
+    let strong = candidate("strong", 5);
+    let mut view = LeaderLeaseView::new(0);
+    view.observe(Some((lease_row("other"), 10)), 1_000);
+    view.note_unwritable(4_000);
+    for liveness in [Liveness::Healthy, Liveness::Isolated, Liveness::Gone] {
+        assert!(view.claim_ms(&strong, liveness) >= 4_000 + FAILED_LEADER_TIMEOUT_MS);
+        assert!(view.claim_ms(&weak, liveness) > view.claim_ms(&strong, liveness) + 500);
+    }
+}
+
+/// Guards against a pool that waits after a restart of all daemons because the former holder,
+/// far from the store, gives precedence to nearer ones that may not claim its row yet.
+#[test]
+fn a_daemon_reclaims_its_own_row_at_once_after_a_restart() {
+    let far = Candidate { cores: 0.12, ..candidate("me", 60) };
+    let mut view = LeaderLeaseView::new(0);
+    view.observe(Some((lease_row("me"), 10)), 1_000);
+    assert_eq!(view.claim_ms(&far, Liveness::Unknown), 1_000);
+}
--- a/crates/node/tests/executors.rs
+++ b/crates/node/tests/executors.rs
@@ -1,4 +1,4 @@
-//! Calls to workers through other daemons.
+//! Calls to workers through executors, daemons in the zones of the workers.
 
 mod fake;
 
@@ -35,11 +35,11 @@
 use tokio::runtime::Runtime;
 use tokio::time::timeout;
 
-use self::fake::Fake;
-use self::fake::Mood;
+use self::fake::FakePlatform;
+use self::fake::StoreBehavior;
 
 const KEY: &str = "test";
-const FAR_AWAY_MS: u64 = u64::MAX / 2;
+const NEVER_EXPIRES_MS: u64 = u64::MAX / 2;
 
 fn member(address: &str, zone: &str, cores: f64) -> Member {
     Member { address: address.to_owned(), zone: ZoneName::new(zone), cores, link_mbps: 200.0 }
@@ -67,9 +67,9 @@
     })
 }
 
-/// A daemon in a runtime of its own, which ends it with all its connections.
-fn daemon(outside: Fake) -> (Runtime, String) {
-    outside.set(Mood::TurnsAway);
+/// Starts a daemon in its own runtime, whose shutdown ends it with all its connections.
+fn start_executor(platform: FakePlatform) -> (Runtime, String) {
+    platform.set_behavior(StoreBehavior::RefusesAll);
     let runtime = Runtime::new().expect("a runtime");
     let listener = runtime.block_on(TcpListener::bind("127.0.0.1:0")).expect("a free port");
     let address = listener.local_addr().expect("bound").to_string();
@@ -90,111 +90,114 @@
         revoke_ms: None,
     };
     let _entered = runtime.enter();
-    let _node = Node::start(&settings, Arc::new(outside), listener);
+    let _node = Node::start(&settings, Arc::new(platform), listener);
     (runtime, address)
 }
 
-/// A leader with one worker in zone `z`, which is more than it can call by itself.
-fn leader(outside: Fake, executor: &str) -> (Executors<Fake>, Inbox) {
+/// The calls of a leader with one worker in zone `z`, which is more than its CPU share allows
+/// it to call directly.
+fn leader(platform: FakePlatform, executor: &str) -> (Executors<FakePlatform>, Inbox) {
     let (messages, inbox) = inbox();
     let peers = Peers::new(KEY, Traffic::default());
     let me = member("127.0.0.1:1", "y", 0.000_1);
-    let executors = Executors::new(Arc::new(outside), peers, me, 1, messages);
+    let executors = Executors::new(Arc::new(platform), peers, me, 1, messages);
     executors.update_members(vec![member(executor, "z", 0.5)]);
     executors.update_workers(BTreeMap::from([(ZoneName::new("z"), 1)]));
     (executors, inbox)
 }
 
-async fn next(inbox: &mut Inbox) -> Event {
+async fn next_event(inbox: &mut Inbox) -> Event {
     match timeout(Duration::from_secs(3), inbox.recv()).await {
         Ok(Some(Message::Event(event))) => event,
         other => panic!("no event came: {other:?}"),
     }
 }
 
-/// Guards against a leader that makes all calls itself while others are idle.
+/// Guards against a leader that makes all calls itself while other daemons are idle.
 #[test]
 fn calls_go_through_a_daemon_of_the_workers_zone() {
-    let (_executor, address) = daemon(Fake::with_worker());
+    let (_executor, address) = start_executor(FakePlatform::with_worker());
     Runtime::new().expect("a runtime").block_on(async {
-        let (executors, mut inbox) = leader(Fake::default(), &address);
+        let (executors, mut inbox) = leader(FakePlatform::default(), &address);
         executors.wait_until_open().await;
         executors.call(Some(&ZoneName::new("z")), hold(7));
-        let event = next(&mut inbox).await;
+        let event = next_event(&mut inbox).await;
         assert!(matches!(event, Event::Held { turn: 7, reply: Ok(_), .. }), "{event:?}");
     });
 }
 
-/// Guards against calls that wait for ever for an executor that died with them.
+/// Guards against calls that never end because their executor crashed.
 #[test]
-fn a_lost_executor_leaves_its_calls_without_answer() {
-    let (executor, address) = daemon(Fake::with_worker());
+fn calls_of_a_lost_executor_end_without_an_answer() {
+    let (executor, address) = start_executor(FakePlatform::with_worker());
     Runtime::new().expect("a runtime").block_on(async {
-        let (executors, mut inbox) = leader(Fake::default(), &address);
+        let (executors, mut inbox) = leader(FakePlatform::default(), &address);
         executors.wait_until_open().await;
-        // Its answer does not come before the executor is gone.
+        // The worker does not answer before the executor is gone.
         executors.call(Some(&ZoneName::new("z")), start(0, &Arc::from("work")));
         tokio::time::sleep(Duration::from_millis(100)).await;
         executor.shutdown_background();
-        let event = next(&mut inbox).await;
+        let event = next_event(&mut inbox).await;
         let no_answer = Err(CallError::NoAnswer);
         assert!(matches!(&event, Event::Started { reply, .. } if *reply == no_answer), "{event:?}");
-        // The leader reaches no worker by itself here; that it tries is enough.
+        // The leader cannot reach the worker here; the refusal shows that it called directly.
         executors.call(Some(&ZoneName::new("z")), hold(8));
-        let event = next(&mut inbox).await;
+        let event = next_event(&mut inbox).await;
         let refused = Err(CallError::Refused);
         assert!(matches!(&event, Event::Held { reply, .. } if *reply == refused), "{event:?}");
     });
 }
 
-/// Guards against a worker given up as lost that only its executor does not reach.
+/// Guards against a worker that is treated as lost although only its executor cannot reach it.
 #[test]
-fn a_worker_that_its_executor_does_not_reach_is_called_directly() {
-    let (_executor, address) = daemon(Fake::default());
+fn a_worker_that_its_executor_cannot_reach_is_called_directly() {
+    let (_executor, address) = start_executor(FakePlatform::default());
     Runtime::new().expect("a runtime").block_on(async {
-        let (executors, mut inbox) = leader(Fake::with_worker(), &address);
+        let (executors, mut inbox) = leader(FakePlatform::with_worker(), &address);
         executors.wait_until_open().await;
         let zone = ZoneName::new("z");
         executors.call(Some(&zone), hold(1));
-        let event = next(&mut inbox).await;
+        let event = next_event(&mut inbox).await;
         assert!(matches!(event, Event::Held { reply: Err(_), .. }), "{event:?}");
         executors.call(Some(&zone), hold(2));
-        let event = next(&mut inbox).await;
+        let event = next_event(&mut inbox).await;
         assert!(matches!(event, Event::Held { reply: Ok(_), .. }), "{event:?}");
     });
 }
 
-/// Guards against starts that lay in a cut link and belong to a replaced leader.
+/// Guards against starts that were delayed by a broken connection and come from a leader that
+/// has been replaced.
 #[tokio::test]
-async fn a_start_that_was_held_up_is_not_made() {
-    let outside = Arc::new(Fake::with_worker());
-    let executor = Executor::new(Arc::clone(&outside));
+async fn an_expired_start_is_not_sent() {
+    let platform = Arc::new(FakePlatform::with_worker());
+    let executor = Executor::new(Arc::clone(&platform));
     let session = SessionId { epoch: 1, number: 1 };
     let batch = Batch::new(vec![(5, start(0, &Arc::from("work")))], 0);
     assert!(executor.execute(session, batch));
     let replies = executor.collect(session, 1_000).await;
     assert_eq!(replies, Some(vec![(5, WorkerReply::Failed(CallError::NotSent))]));
-    assert_eq!(outside.first_starts(), 0);
+    assert_eq!(platform.first_starts_received(), 0);
 }
 
-/// Guards against a former leader that goes on giving orders beside the next one.
+/// Guards against a former leader that keeps making calls beside the next one.
 #[tokio::test]
-async fn orders_of_a_replaced_leader_are_refused() {
-    let executor = Executor::new(Arc::new(Fake::with_worker()));
-    let (former, present) = (SessionId { epoch: 1, number: 9 }, SessionId { epoch: 2, number: 1 });
+async fn calls_of_a_replaced_leader_are_refused() {
+    let executor = Executor::new(Arc::new(FakePlatform::with_worker()));
+    let (former, current) = (SessionId { epoch: 1, number: 9 }, SessionId { epoch: 2, number: 1 });
     assert_eq!(executor.collect(former, 0).await, Some(Vec::new()));
-    assert_eq!(executor.collect(present, 0).await, Some(Vec::new()));
-    assert!(!executor.execute(former, Batch::new(vec![(1, hold(1))], FAR_AWAY_MS)));
+    assert_eq!(executor.collect(current, 0).await, Some(Vec::new()));
+    assert!(!executor.execute(former, Batch::new(vec![(1, hold(1))], NEVER_EXPIRES_MS)));
     assert_eq!(executor.collect(former, 0).await, None);
 }
 
-/// Guards against a narrow link that is filled by one payload sent for each task of a job.
+/// Guards against a slow link that is saturated because the payload of a job is sent again
+/// for each of its tasks.
 #[test]
-fn a_payload_travels_once_with_a_batch() {
+fn a_payload_is_encoded_once_per_batch() {
     let payload: Arc<str> = Arc::from("p".repeat(1_200));
     let calls: Vec<(u64, WorkerCall)> =
         (0..40).map(|index| (u64::from(index), start(index, &payload))).collect();
-    let bytes = encode(&Batch::new(calls.clone(), FAR_AWAY_MS));
+    let bytes = encode(&Batch::new(calls.clone(), NEVER_EXPIRES_MS));
     assert!(bytes.len() < 1_200 + 40 * 100, "{} bytes", bytes.len());
     let batch: Batch = decode(&bytes).expect("can be read");
     assert_eq!(batch.into_calls().collect::<Vec<_>>(), calls);
@@ -213,12 +216,12 @@
 /// Guards against a flood that uses up the leader's processor while other daemons are idle.
 #[test]
 fn a_busy_leader_leaves_its_calls_to_executors() {
-    let (_executor, address) = daemon(Fake::with_worker());
+    let (_executor, address) = start_executor(FakePlatform::with_worker());
     Runtime::new().expect("a runtime").block_on(async {
         let (messages, mut inbox) = inbox();
         let peers = Peers::new(KEY, Traffic::default());
         let me = member("127.0.0.1:1", "y", 0.5);
-        let executors = Executors::new(Arc::new(Fake::default()), peers, me, 1, messages);
+        let executors = Executors::new(Arc::new(FakePlatform::default()), peers, me, 1, messages);
         executors.update_members(vec![member(&address, "z", 0.5)]);
         executors.update_workers(BTreeMap::from([(ZoneName::new("z"), 1)]));
         let zone = ZoneName::new("z");
@@ -228,15 +231,15 @@
             executors.update_load(deciding_ms, 1_000);
             executors.wait_until_open().await;
             executors.call(Some(&zone), hold(deciding_ms));
-            let event = next(&mut inbox).await;
-            // The leader reaches no worker by itself here.
+            let event = next_event(&mut inbox).await;
+            // The leader cannot reach a worker directly here.
             let answered = matches!(&event, Event::Held { reply: Ok(_), .. });
             assert_eq!(answered, through_executor, "{deciding_ms}: {event:?}");
         }
     });
 }
 
-/// Guards against work that goes to the weakest daemons, or back to the leader.
+/// Guards against calls that are sent through the weakest daemons or back to the leader.
 #[test]
 fn the_most_powerful_daemons_of_the_zone_execute() {
     let leader = member("leader", "z", 0.5);
--- a/crates/node/tests/fake/daemon.rs
+++ b/crates/node/tests/fake/daemon.rs
@@ -1,4 +1,4 @@
-//! Daemons over the store in memory.
+//! Daemons that use the in-memory store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,15 +13,19 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-use super::Fake;
+use super::FakePlatform;
 
-/// Starts a daemon that reaches the store as it is.
-pub async fn start(name: &str, store: &Arc<Fake>) -> Node<Fake> {
-    start_with(name, store, None).await
+/// Starts a daemon without a limit on the time in which revoked keys stop working.
+pub async fn start(name: &str, store: &Arc<FakePlatform>) -> Node<FakePlatform> {
+    start_with_revocation(name, store, None).await
 }
 
-/// The same, where keys have to stop working in a time.
-pub async fn start_with(name: &str, store: &Arc<Fake>, revoke_ms: Option<u64>) -> Node<Fake> {
+/// Starts a daemon where revoked keys have to stop working within `revoke_ms`, if given.
+pub async fn start_with_revocation(
+    name: &str,
+    store: &Arc<FakePlatform>,
+    revoke_ms: Option<u64>,
+) -> Node<FakePlatform> {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let settings = NodeSettings {
         name: name.to_owned(),
@@ -62,14 +66,14 @@
     }
 }
 
-/// A moment from now.
-pub fn in_ms(ms: u64) -> Instant {
+/// The time `ms` milliseconds from now.
+pub fn deadline_in(ms: u64) -> Instant {
     Instant::now() + Duration::from_millis(ms)
 }
 
-/// Waits until something holds.
-pub async fn until(what: &str, limit_ms: u64, mut holds: impl FnMut() -> bool) {
-    let end = in_ms(limit_ms);
+/// Waits until a condition holds; panics after `limit_ms`.
+pub async fn wait_until(what: &str, limit_ms: u64, mut holds: impl FnMut() -> bool) {
+    let end = deadline_in(limit_ms);
     while !holds() {
         assert!(Instant::now() < end, "{what} did not come within {limit_ms} ms");
         tokio::time::sleep(Duration::from_millis(10)).await;
--- a/crates/node/tests/fake/mod.rs
+++ b/crates/node/tests/fake/mod.rs
@@ -1,4 +1,5 @@
-//! A store in memory that can fail as the platform's does. It has no workers.
+//! A fake platform: an in-memory store that can fail like the real one, at most one worker,
+//! and an advisor that grants none.
 
 #![allow(dead_code, reason = "each test file uses a part of the fake")]
 
@@ -38,37 +39,37 @@
 use stoatwell_pool::WorkerUpdate;
 use tokio::sync::watch;
 
-/// How the store treats writes.
+/// How the store responds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
-    /// It does and answers them.
+pub enum StoreBehavior {
+    /// It carries out all requests.
     #[default]
-    Well,
-    /// It refuses them.
-    Refuses,
-    /// It never answers and does nothing.
-    Silent,
-    /// It does the next one without an answer, then is well.
-    LosesOneAnswer,
-    /// It refuses readings too.
-    TurnsAway,
+    Normal,
+    /// It refuses writes.
+    RefusesWrites,
+    /// It carries out no writes and answers neither writes nor reads.
+    Unresponsive,
+    /// It carries out the next write without a response and is normal afterwards.
+    LosesOneResponse,
+    /// It refuses reads and writes.
+    RefusesAll,
 }
 
-/// The store, as one daemon meets it, with at most one worker.
+/// The platform as one daemon sees it. The rows can be shared with other daemons.
 #[derive(Debug, Default)]
-pub struct Fake {
-    mood: Mutex<Mood>,
+pub struct FakePlatform {
+    behavior: Mutex<StoreBehavior>,
     state: Arc<Mutex<State>>,
     worker: Option<FakeWorker>,
 }
 
-/// A worker that answers all first starts at one moment, with "not started", and
-/// does whatever is started after that at once.
+/// A worker that answers the first start of each task with "not started", all at the same
+/// time, and completes later runs at once.
 #[derive(Debug, Default)]
 struct FakeWorker {
-    answers: watch::Sender<bool>,
+    answers_released: watch::Sender<bool>,
     started: Mutex<Vec<(TaskId, u32)>>,
-    first_starts: AtomicUsize,
+    first_starts_received: AtomicUsize,
 }
 
 #[derive(Debug, Default)]
@@ -78,46 +79,48 @@
     writes: usize,
     advice_hangs: bool,
     manifest: Option<Manifest>,
-    remembered: Rows,
-    /// How many readings of a table are answered with what is remembered.
-    old_readings: Option<(usize, Table)>,
+    snapshot: Rows,
+    /// How many reads of a table are still answered with the snapshot.
+    stale_reads: Option<(usize, Table)>,
 }
 
-impl Fake {
-    /// The same store, as another daemon meets it.
-    pub fn for_another(&self) -> Self {
-        Self { mood: Mutex::default(), state: Arc::clone(&self.state), worker: None }
+impl FakePlatform {
+    /// The same store as another daemon sees it, with a behavior of its own and no worker.
+    pub fn for_other_daemon(&self) -> Self {
+        Self { behavior: Mutex::default(), state: Arc::clone(&self.state), worker: None }
     }
 
-    /// A store with a worker.
+    /// A platform with a worker.
     pub fn with_worker() -> Self {
         Self { worker: Some(FakeWorker::default()), ..Self::default() }
     }
 
-    /// First starts that wait for their answers.
-    pub fn first_starts(&self) -> usize {
-        self.worker.as_ref().map_or(0, |worker| worker.first_starts.load(Ordering::Relaxed))
+    /// The number of first starts that the worker has received.
+    pub fn first_starts_received(&self) -> usize {
+        self.worker
+            .as_ref()
+            .map_or(0, |worker| worker.first_starts_received.load(Ordering::Relaxed))
     }
 
     /// Answers all first starts.
     pub fn answer_first_starts(&self) {
         if let Some(worker) = &self.worker {
-            worker.answers.send_replace(true);
+            worker.answers_released.send_replace(true);
         }
     }
 
-    /// Keeps the present rows for [`Self::answer_old_readings`].
-    pub fn remember(&self) {
+    /// Keeps the present version, but no rows, for [`Self::serve_snapshot`].
+    pub fn save_snapshot(&self) {
         let mut state = self.state.lock().expect("no panic");
-        state.remembered = Rows { rows: Vec::new(), version: state.version };
+        state.snapshot = Rows { rows: Vec::new(), version: state.version };
     }
 
-    /// Answers the next readings of a table as it was, empty, when it was remembered.
-    pub fn answer_old_readings(&self, count: usize, table: Table) {
-        self.state.lock().expect("no panic").old_readings = Some((count, table));
+    /// Answers the next `count` reads of a table with the snapshot, which is empty.
+    pub fn serve_snapshot(&self, count: usize, table: Table) {
+        self.state.lock().expect("no panic").stale_reads = Some((count, table));
     }
 
-    /// Puts a newer manifest into force.
+    /// Stores a newer manifest.
     pub fn write_manifest(&self, manifest: Manifest) {
         let mut state = self.state.lock().expect("no panic");
         state.version += 1;
@@ -129,29 +132,29 @@
         self.state.lock().expect("no panic").manifest.clone()
     }
 
-    /// Whether the advisor never answers.
-    pub fn hang_advice(&self, hangs: bool) {
+    /// Sets whether the advisor never answers.
+    pub fn set_advice_hangs(&self, hangs: bool) {
         self.state.lock().expect("no panic").advice_hangs = hangs;
     }
 
-    fn old_reading(&self, table: Table) -> Option<Rows> {
+    fn stale_read(&self, table: Table) -> Option<Rows> {
         let mut state = self.state.lock().expect("no panic");
-        let (count, of) = state.old_readings?;
-        if count == 0 || of != table {
+        let (count, stale_table) = state.stale_reads?;
+        if count == 0 || stale_table != table {
             return None;
         }
-        state.old_readings = Some((count - 1, of));
-        Some(state.remembered.clone())
+        state.stale_reads = Some((count - 1, stale_table));
+        Some(state.snapshot.clone())
     }
 
-    pub fn set(&self, mood: Mood) {
-        *self.mood.lock().expect("no panic") = mood;
+    pub fn set_behavior(&self, behavior: StoreBehavior) {
+        *self.behavior.lock().expect("no panic") = behavior;
     }
 
     pub fn rows(&self, table: Table) -> Vec<Row> {
         let state = self.state.lock().expect("no panic");
-        let mine = state.rows.iter().filter(|((name, _), _)| *name == table.to_string());
-        mine.map(|((_, key), (value, version))| Row {
+        let rows = state.rows.iter().filter(|((name, _), _)| *name == table.to_string());
+        rows.map(|((_, key), (value, version))| Row {
             key: key.clone(),
             value: Some(value.clone()),
             version: *version,
@@ -168,9 +171,9 @@
         state.writes += 1;
         let mut conflicts = Vec::new();
         for (table, key, expected) in &transaction.expect {
-            let there = state.rows.get(&(table.to_string(), key.clone()));
-            let version = there.map_or(0, |(_, version)| *version);
-            let value = there.map(|(value, _)| value.clone());
+            let existing = state.rows.get(&(table.to_string(), key.clone()));
+            let version = existing.map_or(0, |(_, version)| *version);
+            let value = existing.map(|(value, _)| value.clone());
             if version != *expected {
                 conflicts.push((*table, Row { key: key.clone(), value, version }));
             }
@@ -189,16 +192,18 @@
         Ok(version)
     }
 
-    fn mood(&self) -> Mood {
-        *self.mood.lock().expect("no panic")
+    fn behavior(&self) -> StoreBehavior {
+        *self.behavior.lock().expect("no panic")
     }
 
-    /// What a reading comes to that is not answered with rows.
-    fn reading_error(&self) -> Option<StoreError> {
-        match self.mood() {
-            Mood::Silent => Some(StoreError::NoAnswer),
-            Mood::TurnsAway => Some(StoreError::Refused),
-            Mood::Well | Mood::Refuses | Mood::LosesOneAnswer => None,
+    /// The error with which reads fail; `None` if they are answered.
+    fn read_error(&self) -> Option<StoreError> {
+        match self.behavior() {
+            StoreBehavior::Unresponsive => Some(StoreError::NoAnswer),
+            StoreBehavior::RefusesAll => Some(StoreError::Refused),
+            StoreBehavior::Normal
+            | StoreBehavior::RefusesWrites
+            | StoreBehavior::LosesOneResponse => None,
         }
     }
 
@@ -207,34 +212,34 @@
     }
 }
 
-impl Platform for Fake {
+impl Platform for FakePlatform {
     async fn transact(&self, transaction: &Transaction) -> Result<u64, StoreError> {
-        match self.mood() {
-            Mood::Well => self.write(transaction),
-            Mood::Refuses | Mood::TurnsAway => Err(StoreError::Refused),
-            Mood::Silent => std::future::pending().await,
-            Mood::LosesOneAnswer => {
-                self.set(Mood::Well);
+        match self.behavior() {
+            StoreBehavior::Normal => self.write(transaction),
+            StoreBehavior::RefusesWrites | StoreBehavior::RefusesAll => Err(StoreError::Refused),
+            StoreBehavior::Unresponsive => std::future::pending().await,
+            StoreBehavior::LosesOneResponse => {
+                self.set_behavior(StoreBehavior::Normal);
                 let done = self.write(transaction);
-                assert!(done.is_ok(), "the lost write is done");
+                assert!(done.is_ok(), "the write without a response is carried out");
                 Err(StoreError::NoAnswer)
             }
         }
     }
 
     async fn read(&self, table: Table, key: &str) -> Result<Option<Row>, StoreError> {
-        if let Some(error) = self.reading_error() {
+        if let Some(error) = self.read_error() {
             return Err(error);
         }
         Ok(self.rows(table).into_iter().find(|row| row.key == key))
     }
 
     async fn read_all(&self, table: Table) -> Result<Rows, StoreError> {
-        if let Some(error) = self.reading_error() {
+        if let Some(error) = self.read_error() {
             return Err(error);
         }
-        if let Some(old) = self.old_reading(table) {
-            return Ok(old);
+        if let Some(stale) = self.stale_read(table) {
+            return Ok(stale);
         }
         Ok(Rows { rows: self.rows(table), version: self.version() })
     }
@@ -247,7 +252,7 @@
     ) -> Result<Rows, StoreError> {
         let rounds = wait_ms / 20 + 1;
         for _ in 0..rounds {
-            if self.mood() == Mood::TurnsAway {
+            if self.behavior() == StoreBehavior::RefusesAll {
                 return Err(StoreError::Refused);
             }
             let newer: Vec<Row> =
@@ -284,7 +289,7 @@
     }
 
     async fn manifest(&self) -> Result<(Option<Manifest>, u64), StoreError> {
-        if let Some(error) = self.reading_error() {
+        if let Some(error) = self.read_error() {
             return Err(error);
         }
         let manifest = self.newest_manifest();
@@ -293,10 +298,10 @@
     }
 
     async fn confirm_manifest(&self, row_version: u64) -> Result<Confirmation, StoreError> {
-        match self.mood() {
-            Mood::Silent => std::future::pending().await,
-            Mood::Refuses | Mood::TurnsAway => Err(StoreError::Refused),
-            Mood::Well | Mood::LosesOneAnswer => {
+        match self.behavior() {
+            StoreBehavior::Unresponsive => std::future::pending().await,
+            StoreBehavior::RefusesWrites | StoreBehavior::RefusesAll => Err(StoreError::Refused),
+            StoreBehavior::Normal | StoreBehavior::LosesOneResponse => {
                 let newest = self.newest_manifest();
                 let changed = newest.filter(|newest| newest.row_version != row_version);
                 Ok(changed
@@ -311,10 +316,12 @@
         wait_ms: u64,
     ) -> Result<(Option<Manifest>, u64), StoreError> {
         for _ in 0..=wait_ms / 20 {
-            if let Some(error) = self.reading_error() {
+            if let Some(error) = self.read_error() {
                 return Err(error);
             }
-            if let Some(newer) = self.newest_manifest().filter(|one| one.row_version > after) {
+            if let Some(newer) =
+                self.newest_manifest().filter(|manifest| manifest.row_version > after)
+            {
                 let version = newer.row_version;
                 return Ok((Some(newer), version));
             }
@@ -349,9 +356,9 @@
             worker.started.lock().expect("no panic").push((call.task, call.run));
             return Ok(StartReply::Started);
         }
-        worker.first_starts.fetch_add(1, Ordering::Relaxed);
-        let mut answers = worker.answers.subscribe();
-        answers.wait_for(|answers| *answers).await.expect("the worker is there");
+        worker.first_starts_received.fetch_add(1, Ordering::Relaxed);
+        let mut answers_released = worker.answers_released.subscribe();
+        answers_released.wait_for(|is_released| *is_released).await.expect("the worker is there");
         Ok(StartReply::TooLate)
     }
 
