--- a/crates/pool/src/advise.rs
+++ b/crates/pool/src/advise.rs
@@ -134,7 +134,7 @@
             Some(granted) => {
                 tracing::debug!(%step, asked = queried.len(), granted = granted.len(), "advisor answered");
                 let slot = |name: &WorkerId| self.workers.get(name).map(|worker| worker.slot);
-                advice.asked.extend(queried.iter().filter_map(slot));
+                advice.queried.extend(queried.iter().filter_map(slot));
                 for grant in granted {
                     let Some(worker) = self.workers.get(&grant.worker) else { continue };
                     let expires_ms = received_ms.min(now_ms) + rule.valid_ms;
--- a/crates/pool/src/dump.rs
+++ b/crates/pool/src/dump.rs
@@ -70,7 +70,7 @@
     pub held: bool,
     /// Whether it accepts new tasks.
     pub open: bool,
-    /// The number of tasks that have room allocated on it.
+    /// The number of tasks that have capacity allocated on it.
     pub tasks: usize,
     /// The resources that are allocated.
     pub used: Resources,
@@ -141,10 +141,10 @@
         for (number, unit) in job.units.iter().enumerate() {
             let waiting = unit.waiting_tasks().count();
             let ready = job.is_ready(number);
-            let asked = unit.advice.asked.len();
+            let queried = unit.advice.queried.len();
             let granted = unit.advice.granted.len();
             lines.push(format!(
-                "step {}: {} of {} tasks to do, {waiting} wait, ready {ready}, advisor granted {granted} of {asked} workers",
+                "step {}: {} of {} tasks to do, {waiting} wait, ready {ready}, advisor granted {granted} of {queried} workers",
                 unit.id, unit.remaining_tasks, unit.tasks.len(),
             ));
             if unit.awaits_cap {
--- a/crates/pool/src/event.rs
+++ b/crates/pool/src/event.rs
@@ -83,11 +83,11 @@
         /// Whether the worker received the new pace.
         reply: Result<(), CallError>,
     },
-    /// A request to the advisor was answered or failed.
+    /// A query to the advisor was answered or failed.
     Advised {
-        /// The step that the request was about.
+        /// The step that the query was about.
         step: StepId,
-        /// The workers that the request named.
+        /// The workers that the query named.
         asked: Vec<WorkerId>,
         /// The time that the advisor was expected to take, as in [`Effect::Advise`].
         cost_ms: u64,
--- a/crates/pool/src/job.rs
+++ b/crates/pool/src/job.rs
@@ -26,9 +26,9 @@
 pub(crate) enum Phase {
     /// Not placed on any worker.
     Waiting,
-    /// Has room on a worker and waits for tickets.
+    /// Has capacity allocated on a worker and waits for tickets.
     Reserved,
-    /// Has room on a worker and waits for its row to be durable.
+    /// Has capacity allocated on a worker and waits for its row to be durable.
     Recorded,
     /// The start was sent and is not answered yet.
     Sent,
@@ -72,11 +72,11 @@
     /// Whether a hold has listed the newest run, so that it is known which incarnation of the
     /// worker has it.
     pub listed_by_worker: bool,
-    /// The pace that the worker was last told, in percent; `None` if the run is at full pace
+    /// The pace that was last sent to the worker, in percent; `None` if the run is at full pace
     /// as far as is known.
     pub pace_percent: Option<u32>,
     /// Whether another run of the task completed. The newest run is stopped then, and its
-    /// room stays allocated until it is gone.
+    /// capacity stays allocated until it is gone.
     pub copy_done: bool,
 }
 
@@ -114,12 +114,12 @@
     /// Workers that may run the step, with the newest ticket of each.
     pub granted: BTreeMap<Slot, Ticket>,
     /// Workers that the advisor has answered about, granted or not.
-    pub asked: BTreeSet<Slot>,
+    pub queried: BTreeSet<Slot>,
     /// Queries that are not answered yet.
     pub queries: u32,
     /// The advisor is not queried again before this.
     pub pause_until_ms: u64,
-    /// The selection of further workers to ask about is not repeated before this.
+    /// The selection of further workers to query about is not repeated before this.
     pub retry_at_ms: u64,
 }
 
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -495,7 +495,7 @@
         self.cycle_due = true;
     }
 
-    /// Records how much room the tasks of each priority take on each service's workers.
+    /// Records how much capacity the tasks of each priority use on each service's workers.
     fn sample_usage(&mut self) {
         let mut used: HashMap<&str, BTreeMap<u32, Resources>> = HashMap::new();
         for worker in self.workers.values() {
--- a/crates/pool/src/request.rs
+++ b/crates/pool/src/request.rs
@@ -16,24 +16,24 @@
 use crate::worker::Slot;
 
 /// A step that was granted enough workers queries about others only if at least this many
-/// of them have room.
+/// of them have free capacity.
 const FURTHER_WORKERS_MIN: usize = 4;
 /// The selection of further workers for a step is repeated after this. It examines every
 /// worker for each waiting step.
 const SELECTION_INTERVAL_MS: u64 = 150;
 /// Ratio of the free places that a gang's queries are expected to grant to the places that
-/// it still needs: which workers are granted varies, and some of the room is taken before
-/// the answer arrives.
+/// it still needs: which workers are granted varies, and some of the free capacity is
+/// allocated before the answer arrives.
 const FREE_FACTOR: f64 = 4.0;
 
 impl Pool {
     /// Requests new tickets for all workers that were granted to a step, if one of them has
-    /// room. Returns whether the step has to wait for tickets rather than query about
+    /// free capacity. Returns whether the step has to wait for tickets rather than query about
     /// further workers.
     ///
     /// The advisor takes nearly as long for one worker as for all of them, and with valid
-    /// tickets any room that comes free is used at once. Requesting a ticket only once room
-    /// is found leaves that room idle until the answer.
+    /// tickets any capacity that becomes free is used at once. Requesting a ticket only once
+    /// capacity is found leaves that capacity idle until the answer.
     pub(crate) fn renew_tickets(
         &mut self,
         step: StepId,
@@ -48,18 +48,18 @@
         }
         let need = spec.worker_demand();
         let mut names = Vec::new();
-        let mut has_room = false;
-        for allowed in self.eligible_workers(step, unit, spec, cycle) {
-            let room = &cycle.workers[allowed.index];
-            has_room |= room.free.holds(&need);
-            names.push(self.name_of(room).clone());
+        let mut has_capacity = false;
+        for eligible in self.eligible_workers(step, unit, spec, cycle) {
+            let view = &cycle.workers[eligible.index];
+            has_capacity |= view.free.holds(&need);
+            names.push(self.name_of(view).clone());
         }
         names.truncate(self.limits.advice_workers_max);
         let Some(rule) = job.spec.queue.advice else { return false };
-        if has_room && self.may_query(rule, names.len()) {
+        if has_capacity && self.may_query(rule, names.len()) {
             self.query_advisor(step, &names);
         }
-        has_room
+        has_capacity
     }
 
     /// Queries the advisor about open workers that it was not queried about yet, those with
@@ -67,9 +67,9 @@
     ///
     /// A gang names as many workers as it takes to be granted places for all of its tasks
     /// at once, as far as places are free now: the few workers that would be enough in an
-    /// empty pool have no room in a busy one. It queries again while other workers have
-    /// such room. A step of independent tasks queries again only if several workers have
-    /// room, since each query costs the advisor's decision time, however few workers it
+    /// empty pool have no free capacity in a busy one. It queries again while other workers
+    /// have such capacity. A step of independent tasks queries again only if several workers
+    /// have some, since each query costs the advisor's decision time, however few workers it
     /// names.
     pub(crate) fn query_more_workers(
         &mut self,
@@ -91,26 +91,26 @@
         let Some(service) = cycle.service_index(&job.spec.queue.service) else { return };
         let advice = &job.units[unit].advice;
         let need = spec.worker_demand();
-        let places_of = |room: &WorkerView| places_in(&room.capacity, &need);
-        let granted_room = |slot: &Slot| cycle.index_of(*slot).map(|index| &cycle.workers[index]);
-        let places: u64 = advice.granted.keys().filter_map(granted_room).map(places_of).sum();
+        let places_of = |view: &WorkerView| places_in(&view.capacity, &need);
+        let granted_view = |slot: &Slot| cycle.index_of(*slot).map(|index| &cycle.workers[index]);
+        let places: u64 = advice.granted.keys().filter_map(granted_view).map(places_of).sum();
         let has_enough = places >= u64::from(spec.tasks) * SUFFICIENT_PLACES_FACTOR;
-        let is_first_query = advice.asked.is_empty();
+        let is_first_query = advice.queried.is_empty();
         let include_full = is_first_query || !has_enough;
-        let free_places = |room: &WorkerView| {
-            if room.admits(step, priority) { places_in(&room.free, &need) } else { 0 }
+        let free_places = |view: &WorkerView| {
+            if view.admits(step, priority) { places_in(&view.free, &need) } else { 0 }
         };
         // Ordered by free places, the most first.
         let mut candidates: Vec<(Reverse<u64>, u64, usize)> = Vec::new();
-        for (index, room) in cycle.workers.iter().enumerate() {
-            if !room.capacity.holds(&need) || !self.is_eligible(service, spec, room) {
+        for (index, view) in cycle.workers.iter().enumerate() {
+            if !view.capacity.holds(&need) || !self.is_eligible(service, spec, view) {
                 continue;
             }
-            let free = free_places(room);
-            if (free == 0 && !include_full) || advice.asked.contains(&room.slot) {
+            let free = free_places(view);
+            if (free == 0 && !include_full) || advice.queried.contains(&view.slot) {
                 continue;
             }
-            candidates.push((Reverse(free), tie_break(step, room.slot), index));
+            candidates.push((Reverse(free), tie_break(step, view.slot), index));
         }
         if candidates.is_empty() || (has_enough && candidates.len() < FURTHER_WORKERS_MIN) {
             return;
@@ -129,7 +129,7 @@
         }
         candidates.sort_unstable();
         if spec.gang {
-            let granted = advice.granted.keys().filter_map(granted_room);
+            let granted = advice.granted.keys().filter_map(granted_view);
             let free_granted: u64 = granted.map(free_places).sum();
             let missing = u64::from(spec.tasks).saturating_sub(free_granted);
             let free: Vec<u64> = candidates.iter().map(|(free, ..)| free.0).collect();
--- a/crates/pool/src/runs.rs
+++ b/crates/pool/src/runs.rs
@@ -24,8 +24,8 @@
 
 /// The time that a start needs to reach its worker.
 const START_LATENCY_MS: u64 = 15;
-/// How long a worker gets no new tasks after it refused a start because it had no room or
-/// was unwell.
+/// How long a worker gets no new tasks after it refused a start because it had no capacity
+/// or was unwell.
 const REFUSED_START_PAUSE_MS: u64 = 500;
 
 impl Pool {
@@ -146,8 +146,8 @@
         self.requeue(id);
     }
 
-    /// Makes sure that a task does not run on the worker it was placed on. Room of a run
-    /// that may have been sent stays allocated until the run is known to be gone.
+    /// Makes sure that a task does not run on the worker it was placed on. The capacity
+    /// of a run that may have been sent stays allocated until the run is known to be gone.
     pub(crate) fn stop(&mut self, id: TaskId) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
@@ -278,7 +278,7 @@
             if task.phase == Phase::Done {
                 continue;
             }
-            // The room of another member stays allocated until its worker lists its end.
+            // The capacity of another member stays allocated until its worker lists its end.
             task.phase = Phase::Done;
             job.units[unit].remaining_tasks -= 1;
         }
@@ -286,7 +286,7 @@
     }
 
     /// Handles the completion of an earlier run of a speculative task. The newest run may
-    /// still be active: it is stopped, and its room stays allocated until it is gone.
+    /// still be active: it is stopped, and its capacity stays allocated until it is gone.
     fn on_copy_done(&mut self, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
         let Some(unit) = job.unit_of(id.step) else { return };
@@ -360,7 +360,7 @@
         }
     }
 
-    /// Frees the room of a task that is no longer on any worker.
+    /// Frees the capacity of a task that is no longer on any worker.
     pub(crate) fn release(&mut self, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
         let Some(task) = job.task_mut(id) else { return };
--- a/crates/pool/src/stalled.rs
+++ b/crates/pool/src/stalled.rs
@@ -41,11 +41,12 @@
                 let stall_ms = STALL_MS.max(step.estimate_ms * STALL_PERCENT / 100) + gang_ms;
                 // A finished member of a gang shows no progress while it waits for the others,
                 // so the latest progress of any member counts.
-                let gang_moved_ms =
+                let gang_progress_ms =
                     unit.tasks.iter().map(|task| task.last_progress_ms).max().unwrap_or(0);
                 for (index, task) in unit.tasks.iter().enumerate() {
                     let id = TaskId { step: unit.id, index: index as u32 };
-                    let moved_ms = if step.gang { gang_moved_ms } else { task.last_progress_ms };
+                    let progress_ms =
+                        if step.gang { gang_progress_ms } else { task.last_progress_ms };
                     match task.phase {
                         Phase::Stopping { answered_turn: None, sent_ms }
                             if sent_ms + STOP_RETRY_MS < self.now_ms =>
@@ -56,7 +57,7 @@
                         Phase::Running { .. }
                             if !step.long_running
                                 && !task.is_slowed()
-                                && moved_ms + stall_ms < self.now_ms =>
+                                && progress_ms + stall_ms < self.now_ms =>
                         {
                             stalled.push(id);
                         }
--- a/crates/pool/tests/load.rs
+++ b/crates/pool/tests/load.rs
@@ -180,7 +180,7 @@
     }
     world.list_all();
     world.run(100);
-    // A different load on each worker, so that the tightest fit differs from the same rack.
+    // A different load on each worker, so that the tightness of the fit differs.
     for number in 0..12 {
         world.submit(number, job(queue(1), vec![step(1, 1_000 + 500 * number, 60_000)]));
     }
