--- a/crates/node/src/executors/link.rs
+++ b/crates/node/src/executors/link.rs
@@ -199,7 +199,7 @@
                 () = self.queued.notified(), if in_flight.len() < BATCHES_IN_FLIGHT_MAX => {}
                 Some(accepted) = in_flight.join_next() => {
                     let Ok(Err((numbers, error))) = accepted else { continue };
-                    self.settle(&numbers, error, on_reply);
+                    self.fail_calls(&numbers, error, on_reply);
                     return;
                 }
             }
@@ -232,7 +232,7 @@
             .partition(|(_, enqueued_ms, _)| *enqueued_ms + CALL_AGE_MAX_MS > now_ms);
         drop(state);
         let expired: Vec<u64> = expired.into_iter().map(|(number, ..)| number).collect();
-        self.settle(&expired, CallError::NotSent, on_reply);
+        self.fail_calls(&expired, CallError::NotSent, on_reply);
         let numbers: Vec<u64> = sendable.iter().map(|(number, ..)| *number).collect();
         let calls = sendable.into_iter().map(|(number, _, call)| (number, call)).collect();
         let expires_ms = clock_ms + now_ms.saturating_sub(received_ms) + CALL_AGE_MAX_MS;
@@ -251,13 +251,13 @@
         state.phase = Phase::Failed;
         let queued: Vec<u64> = state.queue.drain(..).map(|(number, ..)| number).collect();
         drop(state);
-        self.settle(&queued, CallError::NotSent, on_reply);
+        self.fail_calls(&queued, CallError::NotSent, on_reply);
         let mut sent: Vec<u64> = self.lock().pending.keys().copied().collect();
         sent.sort_unstable();
-        self.settle(&sent, CallError::NoAnswer, on_reply);
+        self.fail_calls(&sent, CallError::NoAnswer, on_reply);
     }
 
-    fn settle(
+    fn fail_calls(
         &self,
         numbers: &[u64],
         error: CallError,
--- a/crates/node/src/gateway.rs
+++ b/crates/node/src/gateway.rs
@@ -304,7 +304,7 @@
             Route::None => return LeaderReply::NotSent,
             Route::Local(_) if !self.is_store_up() => return LeaderReply::NotSent,
             Route::Local(queries) => {
-                let reply = timeout_at(deadline, ask_local(&queries, call)).await;
+                let reply = timeout_at(deadline, call_local(&queries, call)).await;
                 return match reply {
                     Ok(Some(NodeReply::Submitted(accepted))) => LeaderReply::Outcome(accepted),
                     Ok(_) | Err(_) => LeaderReply::NoAnswer,
@@ -361,7 +361,7 @@
         let deadline = Instant::now() + Duration::from_millis(limit_ms);
         let accepted = self.acceptor.accept(WriteRequest::Cancel(job), deadline).await;
         if let (Accepted::Yes, Route::Local(queries)) = (accepted, self.route())
-            && ask_local(&queries, NodeCall::Cancelled(job)).await.is_none()
+            && call_local(&queries, NodeCall::Cancelled(job)).await.is_none()
         {
             tracing::debug!(
                 "scheduler stopped before it was notified of a cancellation; the store's change feed will deliver it"
@@ -383,7 +383,7 @@
     fn notify_leader(self: &Arc<Self>, call: NodeCall) {
         let gateway = Arc::clone(self);
         tokio::spawn(async move {
-            if gateway.ask_leader(call).await.is_none() {
+            if gateway.call_leader(call).await.is_none() {
                 tracing::debug!(
                     "leader was not notified of a durable write; the store's change feed will deliver it"
                 );
@@ -394,7 +394,7 @@
     /// Looks up a job's state. A job of another customer is reported as absent, so that the
     /// caller learns nothing about it.
     pub async fn state(&self, job: JobId, caller: Option<&CustomerName>) -> JobLookup {
-        if let Some(NodeReply::State(Some(view))) = self.ask_leader(NodeCall::State(job)).await {
+        if let Some(NodeReply::State(Some(view))) = self.call_leader(NodeCall::State(job)).await {
             return visible_state(&view, caller);
         }
         // The leader is unavailable, or has not received a job that was just accepted.
@@ -410,7 +410,7 @@
 
     /// Number of jobs of a queue for which nothing has started; `None` if no leader answers.
     pub async fn pending(&self, queue: &str) -> Option<u64> {
-        match self.ask_leader(NodeCall::Pending(queue.to_owned())).await {
+        match self.call_leader(NodeCall::Pending(queue.to_owned())).await {
             Some(NodeReply::Pending(count)) => Some(count),
             _ => None,
         }
@@ -438,10 +438,10 @@
     }
 
     /// Sends a call to the leader, on this daemon or another; `None` if no leader answers.
-    async fn ask_leader(&self, call: NodeCall) -> Option<NodeReply> {
+    async fn call_leader(&self, call: NodeCall) -> Option<NodeReply> {
         match self.route() {
             Route::None => None,
-            Route::Local(queries) => ask_local(&queries, call).await,
+            Route::Local(queries) => call_local(&queries, call).await,
             Route::Remote(address) => {
                 match self.peers.call::<NodeReply>(&address, &call, LEADER_TIMEOUT).await {
                     Ok(NodeReply::NotScheduler) => None,
@@ -501,7 +501,7 @@
             // The calling daemon may reach the store itself.
             return NodeReply::NotScheduler;
         }
-        ask_local(&queries, call).await.unwrap_or(NodeReply::NotScheduler)
+        call_local(&queries, call).await.unwrap_or(NodeReply::NotScheduler)
     }
 }
 
@@ -516,22 +516,22 @@
     if view.customer.as_ref() == caller { JobLookup::State(view.state) } else { JobLookup::NoJob }
 }
 
-async fn ask_local(queries: &mpsc::Sender<Query>, call: NodeCall) -> Option<NodeReply> {
+async fn call_local(queries: &mpsc::Sender<Query>, call: NodeCall) -> Option<NodeReply> {
     match call {
         NodeCall::State(job) => {
-            let (answer, answered) = oneshot::channel();
-            queries.send(Query::State(job, answer)).await.ok()?;
-            answered.await.ok().map(NodeReply::State)
+            let (reply_sender, reply) = oneshot::channel();
+            queries.send(Query::State(job, reply_sender)).await.ok()?;
+            reply.await.ok().map(NodeReply::State)
         }
         NodeCall::Pending(queue) => {
-            let (answer, answered) = oneshot::channel();
-            queries.send(Query::Pending(queue, answer)).await.ok()?;
-            answered.await.ok().map(NodeReply::Pending)
+            let (reply_sender, reply) = oneshot::channel();
+            queries.send(Query::Pending(queue, reply_sender)).await.ok()?;
+            reply.await.ok().map(NodeReply::Pending)
         }
         NodeCall::Submit { job, row } => {
-            let (answer, answered) = oneshot::channel();
-            queries.send(Query::Submit(job, row, answer)).await.ok()?;
-            answered.await.ok().map(NodeReply::Submitted)
+            let (reply_sender, reply) = oneshot::channel();
+            queries.send(Query::Submit(job, row, reply_sender)).await.ok()?;
+            reply.await.ok().map(NodeReply::Submitted)
         }
         NodeCall::Accepted { job, row } => {
             queries.send(Query::Accepted(job, row)).await.ok()?;
--- a/crates/pool/tests/world/mod.rs
+++ b/crates/pool/tests/world/mod.rs
@@ -286,7 +286,7 @@
         self.list_all();
     }
 
-    /// A worker loses its state and is listed as a new incarnation after 1.5 s.
+    /// Crashes a worker, which loses its state and is listed as a new incarnation after 1.5 s.
     pub fn crash(&mut self, name: &WorkerId) {
         let now_ms = self.now_ms;
         if let Some(worker) = self.workers.get_mut(name) {
@@ -295,7 +295,7 @@
         self.schedule(1_500, TimedEvent::Listed(name.clone()));
     }
 
-    /// Calls to a worker get no answer for a while, and it gets none of them.
+    /// Makes a worker unreachable for a while: calls to it are lost.
     pub fn isolate(&mut self, name: &WorkerId, for_ms: u64) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.isolated = true;
@@ -303,7 +303,7 @@
         self.schedule(for_ms, TimedEvent::Reachable(name.clone()));
     }
 
-    /// Connections to a worker are refused for a while, though it continues to run.
+    /// Refuses connections to a worker for a while, though it continues to run.
     pub fn refuse_connections(&mut self, name: &WorkerId, for_ms: u64) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.refuses_connections = true;
@@ -311,7 +311,7 @@
         self.schedule(for_ms, TimedEvent::Reachable(name.clone()));
     }
 
-    /// A worker announces that it will leave.
+    /// Lets a worker announce that it will leave.
     pub fn drain(&mut self, name: &WorkerId) {
         self.workers.get_mut(name).expect("known").draining = true;
         self.list_all();
--- a/crates/pool/tests/world/worker.rs
+++ b/crates/pool/tests/world/worker.rs
@@ -67,11 +67,11 @@
 pub struct Worker {
     pub name: WorkerId,
     pub up: bool,
-    /// Whether calls neither reach it nor are answered, for a while.
+    /// Whether it is unreachable for a while: calls to it are lost.
     pub isolated: bool,
     /// Whether something in front of it, such as a firewall, refuses connections.
     pub refuses_connections: bool,
-    /// Whether calls neither reach it nor are answered, for good.
+    /// Whether it is unreachable for good.
     pub permanently_isolated: bool,
     /// Whether its tasks make no progress.
     pub hung: bool,
@@ -93,7 +93,8 @@
     /// Ends up to this number had been recorded when the lease expired; they no longer count
     /// as completions.
     void_up_to: u64,
-    /// The highest run number of each task that was stopped or ended; no run up to it starts.
+    /// The highest run number of each task that was stopped or has ended; a start of that run
+    /// or an earlier one is refused.
     closed_runs: BTreeMap<TaskId, u32>,
 }
 
