--- a/crates/engine/src/jobs.rs
+++ b/crates/engine/src/jobs.rs
@@ -168,9 +168,9 @@
         {
             let count = tasks.len();
             let placement_note = if evicted > 0 {
-                format!("after {evicted} patient tasks were evicted")
+                format!("after {evicted} patient tasks gave way")
             } else {
-                "which leaves the least unused capacity".to_owned()
+                "which kept the least unused room".to_owned()
             };
             job.machine.note(format!(
                 "{count} tasks placed, the first on {} {placement_note}",
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -185,10 +185,7 @@
             // The deadline passed while the record was being written, so nothing was sent.
             self.release_slot(request_id, RequestEnd::Answered);
             self.requests.remove(&request_id);
-            self.finish_request(
-                id,
-                not_run(Code::DeadlinePassed, "the deadline passed while its record was written"),
-            );
+            self.finish_request(id, not_run(Code::DeadlinePassed, "it waited for its record"));
             return;
         }
         self.send_request(request_id);
@@ -261,7 +258,7 @@
             Ok(MinionReply::Running) | Err(_) => {
                 if !self.retry_request(request_id) {
                     let detail =
-                        "the minion did not answer; the request can be repeated safely".to_owned();
+                        "the minion did not answer; the work may be repeated safely".to_owned();
                     self.end_request(
                         request_id,
                         Outcome::Unknown { code: Code::OutcomeUnknown, detail },
@@ -283,7 +280,7 @@
             } else {
                 Code::NoMinion
             };
-            self.end_without_retry(request_id, code, "no minion started it");
+            self.end_without_retry(request_id, code, "no minion began it");
             return;
         }
         if request.is_recorded() {
@@ -329,7 +326,7 @@
         let may_have_run =
             self.requests.get(&request_id).is_some_and(|request| request.may_have_run);
         let outcome = if may_have_run {
-            let detail = format!("an earlier attempt was not answered; since then {detail}");
+            let detail = format!("an earlier try went without an answer, and {detail}");
             Outcome::Unknown { code: Code::OutcomeUnknown, detail }
         } else {
             not_run(code, detail)
@@ -391,10 +388,7 @@
         }
         // The job was taken over from another daemon: its body is not here, and no
         // caller waits for the answer.
-        self.finish_request(
-            id,
-            not_run(Code::NoMinion, "the daemon that accepted it was replaced"),
-        );
+        self.finish_request(id, not_run(Code::NoMinion, "the daemon that had it was replaced"));
     }
 
     pub(crate) fn serve_waiting_requests(&mut self) {
--- a/crates/engine/src/submit.rs
+++ b/crates/engine/src/submit.rs
@@ -256,7 +256,7 @@
         let largest = self.scheduler.cell.largest(owner);
         let detail = match largest.first_shortage(demand) {
             Some(lacking) => format!("no target of {owner} has enough {lacking}"),
-            None => format!("no single target of {owner} has enough of every resource"),
+            None => format!("no single target of {owner} has all of it"),
         };
         Failure::with_detail(Code::NeverFits, detail)
     }
@@ -428,7 +428,7 @@
             "$.tasks",
             submission.tasks.to_string(),
             expected,
-            "the entry's limits.tasks_per_job is the maximum",
+            "limits.tasks_per_job of the entry bounds it",
         );
     }
     if let Some(demand) = &submission.demand
@@ -438,7 +438,7 @@
             "$.demand.cpu_millis",
             "0".to_owned(),
             "1 or more".to_owned(),
-            "every task needs CPU",
+            "every task needs some processor",
         );
     }
     problems
