--- a/crates/daemon/src/api/auth.rs
+++ b/crates/daemon/src/api/auth.rs
@@ -1,4 +1,4 @@
-//! Who may act: bearer tokens, of which only hashes are kept.
+//! Authentication and authorisation by bearer tokens. Only hashes of tokens are kept.
 
 use axum::http::HeaderMap;
 use axum::http::header;
@@ -9,44 +9,45 @@
 use stoatwell_model::Failure;
 use stoatwell_platform::Platform;
 
-use crate::api::Shared;
+use crate::api::ApiState;
 
-/// Who sends these headers.
-pub(crate) fn caller<P: Platform>(
-    shared: &Shared<P>,
+/// Identifies the caller by the bearer token; everybody is an operator where
+/// `security.open_access` is set.
+pub(crate) fn authenticate<P: Platform>(
+    state: &ApiState<P>,
     headers: &HeaderMap,
 ) -> Result<Caller, Failure> {
-    if shared.settings.security.open_access {
+    if state.settings.security.open_access {
         return Ok(Caller::Operator);
     }
     let token = headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
     let token = token.and_then(bearer_key).ok_or_else(|| Failure::new(Code::Unauthenticated))?;
     let hash = KeyHash::of(token);
-    let is_mine = |known: &String| known.parse::<KeyHash>().is_ok_and(|known| known == hash);
-    if shared.settings.security.operator_token_sha256.iter().any(is_mine) {
+    let matches_token = |known: &String| known.parse::<KeyHash>().is_ok_and(|known| known == hash);
+    if state.settings.security.operator_token_sha256.iter().any(matches_token) {
         return Ok(Caller::Operator);
     }
-    for owner in shared.catalogue().owners() {
-        if owner.token_sha256.as_ref().is_some_and(is_mine) {
+    for owner in state.catalogue().owners() {
+        if owner.token_sha256.as_ref().is_some_and(matches_token) {
             return Ok(Caller::Owner(owner.owner.clone()));
         }
     }
     Err(Failure::new(Code::Unauthenticated))
 }
 
-/// Refuses everybody but operators.
-pub(crate) fn operator<P: Platform>(
-    shared: &Shared<P>,
+/// Authenticates the caller and rejects all but operators with [`Code::Forbidden`].
+pub(crate) fn require_operator<P: Platform>(
+    state: &ApiState<P>,
     headers: &HeaderMap,
 ) -> Result<Caller, Failure> {
-    match caller(shared, headers)? {
+    match authenticate(state, headers)? {
         Caller::Operator => Ok(Caller::Operator),
         Caller::Owner(_) => Err(Failure::new(Code::Forbidden)),
     }
 }
 
-/// How the caller is named in the catalogue's history.
-pub(crate) fn name(caller: &Caller) -> String {
+/// The name under which the catalogue's history records the caller.
+pub(crate) fn caller_name(caller: &Caller) -> String {
     match caller {
         Caller::Operator => "operator".to_owned(),
         Caller::Owner(owner) => owner.to_string(),
--- a/crates/daemon/src/api/entries.rs
+++ b/crates/daemon/src/api/entries.rs
@@ -1,4 +1,4 @@
-//! The catalogue: entries with their revision as `ETag`.
+//! Handlers for catalogue entries. The revision of an entry is its `ETag`.
 
 use axum::Json;
 use axum::body::Bytes;
@@ -23,47 +23,47 @@
 use stoatwell_model::Failure;
 use stoatwell_platform::Platform;
 
-use crate::api::Shared;
+use crate::api::ApiState;
 use crate::api::auth;
 use crate::api::reply;
-use crate::api::reply::Refusal;
-use crate::core::ask;
+use crate::api::reply::ErrorResponse;
+use crate::engine_actor::ask;
 
-/// All entries.
+/// The entries that the caller may see, with the catalogue's revision.
 #[derive(Debug, Serialize)]
-struct Listed {
+struct EntryList {
     revision: u64,
     entries: Vec<Versioned>,
 }
 
 pub(crate) async fn list<P: Platform>(
-    State(shared): State<Shared<P>>,
+    State(state): State<ApiState<P>>,
     headers: HeaderMap,
-) -> Result<Response, Refusal> {
-    let caller = auth::caller(&shared, &headers)?;
-    let catalogue = shared.catalogue();
+) -> Result<Response, ErrorResponse> {
+    let caller = auth::authenticate(&state, &headers)?;
+    let catalogue = state.catalogue();
     let mut entries = Vec::new();
     for (_, versioned) in catalogue.items() {
         let shown = match &versioned.item {
-            Item::Work(work) => may_see(&caller, work.owner.as_str()),
-            Item::Owner(owner) => may_see(&caller, owner.owner.as_str()),
+            Item::Work(work) => may_access(&caller, work.owner.as_str()),
+            Item::Owner(owner) => may_access(&caller, owner.owner.as_str()),
             Item::Target(_) => false,
         };
         if shown {
             entries.push(versioned.clone());
         }
     }
-    Ok(Json(Listed { revision: catalogue.revision(), entries }).into_response())
+    Ok(Json(EntryList { revision: catalogue.revision(), entries }).into_response())
 }
 
 pub(crate) async fn get<P: Platform>(
-    State(shared): State<Shared<P>>,
+    State(state): State<ApiState<P>>,
     Path((kind, name)): Path<(String, String)>,
     headers: HeaderMap,
-) -> Result<Response, Refusal> {
-    let caller = auth::caller(&shared, &headers)?;
+) -> Result<Response, ErrorResponse> {
+    let caller = auth::authenticate(&state, &headers)?;
     let key = key(&kind, &name)?;
-    let catalogue = shared.catalogue();
+    let catalogue = state.catalogue();
     let versioned =
         catalogue.get(&key).ok_or_else(|| Failure::with_detail(Code::NoSuchEntry, &key))?;
     let owner = match &versioned.item {
@@ -71,7 +71,7 @@
         Item::Owner(owner) => owner.owner.as_str(),
         Item::Target(target) => target.owner.as_str(),
     };
-    if !may_see(&caller, owner) {
+    if !may_access(&caller, owner) {
         return Err(Failure::with_detail(Code::NoSuchEntry, &key).into());
     }
     let tag = etag(versioned.revision);
@@ -79,12 +79,12 @@
 }
 
 pub(crate) async fn put<P: Platform>(
-    State(shared): State<Shared<P>>,
+    State(state): State<ApiState<P>>,
     Path((kind, name)): Path<(String, String)>,
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
-) -> Result<Response, Refusal> {
-    let caller = auth::operator(&shared, &headers)?;
+) -> Result<Response, ErrorResponse> {
+    let caller = auth::require_operator(&state, &headers)?;
     let key = key(&kind, &name)?;
     let body = body?;
     let text = std::str::from_utf8(&body)
@@ -99,56 +99,57 @@
         let detail = format!("the path says {key}, the document {}", key_of(&item));
         return Err(Failure::with_detail(Code::InvalidDocument, detail).into());
     }
-    let expected = expected(&headers)?;
-    change(&shared, &caller, key, EditKind::Put(item), expected).await
+    let expected = expected_revision(&headers)?;
+    change(&state, &caller, key, EditKind::Put(item), expected).await
 }
 
 pub(crate) async fn delete<P: Platform>(
-    State(shared): State<Shared<P>>,
+    State(state): State<ApiState<P>>,
     Path((kind, name)): Path<(String, String)>,
     headers: HeaderMap,
-) -> Result<Response, Refusal> {
-    let caller = auth::operator(&shared, &headers)?;
+) -> Result<Response, ErrorResponse> {
+    let caller = auth::require_operator(&state, &headers)?;
     let key = key(&kind, &name)?;
-    let expected = expected(&headers)?;
-    change(&shared, &caller, key, EditKind::Delete, expected).await
+    let expected = expected_revision(&headers)?;
+    change(&state, &caller, key, EditKind::Delete, expected).await
 }
 
 pub(crate) async fn history<P: Platform>(
-    State(shared): State<Shared<P>>,
+    State(state): State<ApiState<P>>,
     Path((kind, name)): Path<(String, String)>,
     headers: HeaderMap,
-) -> Result<Response, Refusal> {
-    auth::operator(&shared, &headers)?;
+) -> Result<Response, ErrorResponse> {
+    auth::require_operator(&state, &headers)?;
     let key = key(&kind, &name)?;
-    let catalogue = shared.catalogue();
+    let catalogue = state.catalogue();
     let changes: Vec<&Change> = catalogue.history(&key);
     Ok(Json(changes).into_response())
 }
 
-/// Makes a change and answers with it once it is accepted.
+/// Edits the catalogue and responds with the change once the engine has accepted it.
 pub(crate) async fn change<P: Platform>(
-    shared: &Shared<P>,
+    state: &ApiState<P>,
     caller: &Caller,
     key: String,
     edit: EditKind,
     expected: Option<u64>,
-) -> Result<Response, Refusal> {
-    let by = auth::name(caller);
+) -> Result<Response, ErrorResponse> {
+    let by = auth::caller_name(caller);
     let event = move |ticket| Event::Edit { ticket, key, edit, expected, by };
-    match ask(&shared.core, event).await {
+    match ask(&state.actor, event).await {
         Some(Answer::Edited(Ok(change))) => {
             tracing::info!(revision = change.revision, item = %change.key, by = %change.by, "catalogue changed");
             let tag = etag(change.revision);
             Ok((StatusCode::OK, [(header::ETAG, tag)], Json(change)).into_response())
         }
         Some(Answer::Edited(Err(failure))) => Err(failure.into()),
-        _ => Err(reply::ended()),
+        _ => Err(reply::stopping()),
     }
 }
 
-/// The revision that `If-Match` names; 0 for `If-None-Match: *`.
-pub(crate) fn expected(headers: &HeaderMap) -> Result<Option<u64>, Failure> {
+/// The revision that the entry must have: that of `If-Match`, 0 (the entry must
+/// not exist) for `If-None-Match: *`, and `None` for any.
+pub(crate) fn expected_revision(headers: &HeaderMap) -> Result<Option<u64>, Failure> {
     let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
     if text(header::IF_NONE_MATCH) == Some("*") {
         return Ok(Some(0));
@@ -182,7 +183,7 @@
     format!("\"{revision}\"")
 }
 
-fn may_see(caller: &Caller, owner: &str) -> bool {
+fn may_access(caller: &Caller, owner: &str) -> bool {
     match caller {
         Caller::Operator => true,
         Caller::Owner(name) => name.as_str() == owner,
--- a/crates/daemon/src/api/jobs.rs
+++ b/crates/daemon/src/api/jobs.rs
@@ -1,4 +1,4 @@
-//! Work: submit, wait, cancel, list.
+//! Handlers for jobs: submit, status, cancel and list.
 
 use axum::Json;
 use axum::body::Bytes;
@@ -29,11 +29,11 @@
 use stoatwell_schema::Field;
 use stoatwell_schema::Kind;
 
-use crate::api::Shared;
+use crate::api::ApiState;
 use crate::api::auth;
 use crate::api::reply;
-use crate::api::reply::Refusal;
-use crate::core::ask;
+use crate::api::reply::ErrorResponse;
+use crate::engine_actor::ask;
 
 const KEY_HEADER: &str = "idempotency-key";
 const LIST_ROWS_MAX: u32 = 200;
@@ -83,7 +83,7 @@
     },
 ];
 
-/// How long to wait for the outcome.
+/// Query parameter for long polling: how long to wait for the outcome.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Wait {
@@ -91,7 +91,7 @@
     wait_ms: u64,
 }
 
-/// Which jobs to list.
+/// Query parameters that select a page of jobs.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Page {
@@ -103,75 +103,76 @@
 
 /// One page of jobs.
 #[derive(Debug, Serialize)]
-struct Listed {
+struct JobList {
     jobs: Vec<JobView>,
-    /// Give this as `after` to go on; empty at the end.
+    /// The value of `after` for the next page; empty on the last one.
     next: String,
 }
 
 pub(crate) async fn submit<P: Platform>(
-    State(shared): State<Shared<P>>,
+    State(state): State<ApiState<P>>,
     query: Result<Query<Wait>, QueryRejection>,
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
-) -> Result<Response, Refusal> {
-    let caller = auth::caller(&shared, &headers)?;
-    let wait_ms = parameters(query)?.wait_ms;
+) -> Result<Response, ErrorResponse> {
+    let caller = auth::authenticate(&state, &headers)?;
+    let wait_ms = query_parameters(query)?.wait_ms;
     let body = body?;
-    let submission = parse(&body)?;
+    let submission = parse_submission(&body)?;
     let key = headers.get(KEY_HEADER).and_then(|value| value.to_str().ok());
     let key = key.ok_or_else(|| Failure::new(Code::BadIdempotencyKey))?.to_owned();
     let answer =
-        ask(&shared.core, move |ticket| Event::Submit { ticket, caller, key, submission, wait_ms });
+        ask(&state.actor, move |ticket| Event::Submit { ticket, caller, key, submission, wait_ms });
     answer_job(answer.await)
 }
 
 pub(crate) async fn status<P: Platform>(
-    State(shared): State<Shared<P>>,
+    State(state): State<ApiState<P>>,
     Path(job): Path<String>,
     query: Result<Query<Wait>, QueryRejection>,
     headers: HeaderMap,
-) -> Result<Response, Refusal> {
-    let caller = auth::caller(&shared, &headers)?;
-    let wait_ms = parameters(query)?.wait_ms;
+) -> Result<Response, ErrorResponse> {
+    let caller = auth::authenticate(&state, &headers)?;
+    let wait_ms = query_parameters(query)?.wait_ms;
     let job = job_id(&job)?;
-    let answer = ask(&shared.core, move |ticket| Event::Status { ticket, caller, job, wait_ms });
+    let answer = ask(&state.actor, move |ticket| Event::Status { ticket, caller, job, wait_ms });
     answer_job(answer.await)
 }
 
 pub(crate) async fn cancel<P: Platform>(
-    State(shared): State<Shared<P>>,
+    State(state): State<ApiState<P>>,
     Path(job): Path<String>,
     headers: HeaderMap,
-) -> Result<Response, Refusal> {
-    let caller = auth::caller(&shared, &headers)?;
+) -> Result<Response, ErrorResponse> {
+    let caller = auth::authenticate(&state, &headers)?;
     let job = job_id(&job)?;
-    let answer = ask(&shared.core, move |ticket| Event::Cancel { ticket, caller, job });
+    let answer = ask(&state.actor, move |ticket| Event::Cancel { ticket, caller, job });
     answer_job(answer.await)
 }
 
-/// Reads records in the order of their ids, so a page is cheap wherever it starts.
+/// Scans job records in the order of their ids, so the cost of a page does not
+/// depend on where it starts.
 pub(crate) async fn list<P: Platform>(
-    State(shared): State<Shared<P>>,
+    State(state): State<ApiState<P>>,
     query: Result<Query<Page>, QueryRejection>,
     headers: HeaderMap,
-) -> Result<Response, Refusal> {
-    let caller = auth::caller(&shared, &headers)?;
-    let page = parameters(query)?;
+) -> Result<Response, ErrorResponse> {
+    let caller = auth::authenticate(&state, &headers)?;
+    let page = query_parameters(query)?;
     let limit = page.limit.unwrap_or(LIST_ROWS).clamp(1, LIST_ROWS_MAX);
     let after = if page.after.is_empty() { String::new() } else { format!("job/{}", page.after) };
     let call = StoreCall::Scan { prefix: "job/".to_owned(), after, limit };
-    let rows = match ask(&shared.core, move |ticket| Event::Store { ticket, call }).await {
+    let rows = match ask(&state.actor, move |ticket| Event::Store { ticket, call }).await {
         Some(Answer::Store(Ok(StoreReply::Rows { rows }))) => rows,
         Some(Answer::Store(Err(error))) => {
             return Err(Failure::with_detail(Code::StoreUnavailable, error)
                 .retry_after(1_000)
                 .into());
         }
-        _ => return Err(reply::ended()),
+        _ => return Err(reply::stopping()),
     };
-    let full = rows.len() as u32 == limit;
-    let last = rows.last().map(|row| row.key.trim_start_matches("job/").to_owned());
+    let is_full_page = rows.len() as u32 == limit;
+    let last_id = rows.last().map(|row| row.key.trim_start_matches("job/").to_owned());
     let mut jobs = Vec::new();
     for row in rows {
         let Ok(record) = serde_json::from_str::<JobRecord>(&row.value) else {
@@ -186,22 +187,22 @@
             jobs.push(JobMachine::new(record, 0, 1).view(Vec::new()));
         }
     }
-    let next = if full { last.unwrap_or_default() } else { String::new() };
-    Ok(Json(Listed { jobs, next }).into_response())
+    let next = if is_full_page { last_id.unwrap_or_default() } else { String::new() };
+    Ok(Json(JobList { jobs, next }).into_response())
 }
 
-/// Reads query parameters, or says with a number what is wrong with them.
-pub(crate) fn parameters<T>(query: Result<Query<T>, QueryRejection>) -> Result<T, Failure> {
+/// The parsed query parameters, or [`Code::BadParameter`] with what is wrong.
+pub(crate) fn query_parameters<T>(query: Result<Query<T>, QueryRejection>) -> Result<T, Failure> {
     match query {
         Ok(Query(parameters)) => Ok(parameters),
         Err(rejection) => Err(Failure::with_detail(Code::BadParameter, rejection)),
     }
 }
 
-fn answer_job(answer: Option<Answer>) -> Result<Response, Refusal> {
+fn answer_job(answer: Option<Answer>) -> Result<Response, ErrorResponse> {
     match answer {
         Some(Answer::Job(result)) => Ok(reply::job(result)),
-        _ => Err(reply::ended()),
+        _ => Err(reply::stopping()),
     }
 }
 
@@ -209,7 +210,7 @@
     text.parse().map_err(|error| Failure::with_detail(Code::BadParameter, error))
 }
 
-fn parse(body: &[u8]) -> Result<Submission, Failure> {
+fn parse_submission(body: &[u8]) -> Result<Submission, Failure> {
     let mut document: Value = serde_json::from_slice(body)
         .map_err(|error| Failure::with_detail(Code::BrokenJson, error))?;
     let demand = document.as_object_mut().and_then(|object| object.remove("demand"));
--- a/crates/daemon/src/api/mod.rs
+++ b/crates/daemon/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface; `docs/api.md` describes every call.
+//! The HTTP API; `docs/api.md` documents every request.
 
 mod auth;
 mod entries;
@@ -20,23 +20,23 @@
 use stoatwell_settings::Settings;
 use tokio::sync::watch;
 
-use crate::core::Core;
-use crate::core::Status;
+use crate::engine_actor::EngineActor;
+use crate::engine_actor::Status;
 use crate::metrics::Metrics;
 
-/// What every handler sees.
+/// The state that all handlers share.
 #[derive(Debug)]
-pub struct Shared<P: Platform> {
-    core: ActorRef<Core<P>>,
+pub struct ApiState<P: Platform> {
+    actor: ActorRef<EngineActor<P>>,
     status: watch::Receiver<Status>,
     settings: Arc<Settings>,
     metrics: Metrics,
 }
 
-impl<P: Platform> Clone for Shared<P> {
+impl<P: Platform> Clone for ApiState<P> {
     fn clone(&self) -> Self {
         Self {
-            core: self.core.clone(),
+            actor: self.actor.clone(),
             status: self.status.clone(),
             settings: Arc::clone(&self.settings),
             metrics: self.metrics.clone(),
@@ -44,15 +44,15 @@
     }
 }
 
-impl<P: Platform> Shared<P> {
-    /// The state of a router.
+impl<P: Platform> ApiState<P> {
+    /// The state for a router whose requests go to `actor`.
     pub fn new(
-        core: ActorRef<Core<P>>,
+        actor: ActorRef<EngineActor<P>>,
         status: watch::Receiver<Status>,
         settings: Settings,
         metrics: Metrics,
     ) -> Self {
-        Self { core, status, settings: Arc::new(settings), metrics }
+        Self { actor, status, settings: Arc::new(settings), metrics }
     }
 
     fn catalogue(&self) -> Arc<Catalogue> {
@@ -60,9 +60,9 @@
     }
 }
 
-/// All paths.
-pub fn router<P: Platform>(shared: Shared<P>) -> Router {
-    let body_bytes_max = shared.settings.http.body_bytes_max as usize;
+/// The router with all paths, the limit on request bodies and the middleware.
+pub fn router<P: Platform>(state: ApiState<P>) -> Router {
+    let body_bytes_max = state.settings.http.body_bytes_max as usize;
     Router::new()
         .route("/livez", get(system::livez))
         .route("/readyz", get(system::readyz::<P>))
@@ -82,6 +82,6 @@
         .route("/v1/targets/{worker}/retire", post(targets::retire::<P>))
         .fallback(system::no_such_path)
         .layer(DefaultBodyLimit::max(body_bytes_max))
-        .layer(middleware::from_fn_with_state(shared.clone(), system::around::<P>))
-        .with_state(shared)
+        .layer(middleware::from_fn_with_state(state.clone(), system::track_request::<P>))
+        .with_state(state)
 }
--- a/crates/daemon/src/api/reply.rs
+++ b/crates/daemon/src/api/reply.rs
@@ -1,4 +1,4 @@
-//! Answers: JSON bodies, and failures with their numbers.
+//! Responses: JSON bodies, and errors with their codes.
 
 use axum::Json;
 use axum::extract::rejection::BytesRejection;
@@ -12,17 +12,17 @@
 use stoatwell_model::Outcome;
 use stoatwell_model::job::JobView;
 
-/// A failure as an answer.
+/// A failure as an HTTP response: its status, JSON body and `Retry-After` header.
 #[derive(Debug)]
-pub(crate) struct Refusal(pub(crate) Failure);
+pub(crate) struct ErrorResponse(pub(crate) Failure);
 
-impl From<Failure> for Refusal {
+impl From<Failure> for ErrorResponse {
     fn from(failure: Failure) -> Self {
         Self(failure)
     }
 }
 
-impl From<BytesRejection> for Refusal {
+impl From<BytesRejection> for ErrorResponse {
     fn from(rejection: BytesRejection) -> Self {
         if rejection.status() == StatusCode::PAYLOAD_TOO_LARGE {
             return Self(Failure::new(Code::BodyTooLarge));
@@ -31,13 +31,13 @@
     }
 }
 
-impl IntoResponse for Refusal {
+impl IntoResponse for ErrorResponse {
     fn into_response(self) -> Response {
         let failure = self.0;
         let retry_after_ms = failure.retry_after_ms;
         let mut response = (status(failure.code), Json(failure)).into_response();
         if let Some(retry_after_ms) = retry_after_ms {
-            // The header counts whole seconds; the body has the milliseconds.
+            // The header is in whole seconds; the body has the exact milliseconds.
             let seconds = retry_after_ms.div_ceil(1_000);
             response.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from(seconds));
         }
@@ -45,12 +45,12 @@
     }
 }
 
-/// A job as an answer: 200 once it is done, 202 while it is not, else the
-/// status of its outcome's code.
+/// A job as a response: 200 if it succeeded, 202 while it has no outcome, otherwise
+/// the status that belongs to its outcome's code.
 pub(crate) fn job(result: Result<JobView, Failure>) -> Response {
     let view = match result {
         Ok(view) => view,
-        Err(failure) => return Refusal(failure).into_response(),
+        Err(failure) => return ErrorResponse(failure).into_response(),
     };
     let status = match &view.outcome {
         None => StatusCode::ACCEPTED,
@@ -64,9 +64,9 @@
     (status, Json(view)).into_response()
 }
 
-/// The daemon has ended under the caller's hands.
-pub(crate) fn ended() -> Refusal {
-    Refusal(Failure::new(Code::Stopping))
+/// The response when the engine's actor ended before it answered.
+pub(crate) fn stopping() -> ErrorResponse {
+    ErrorResponse(Failure::new(Code::Stopping))
 }
 
 fn status(code: Code) -> StatusCode {
--- a/crates/daemon/src/api/system.rs
+++ b/crates/daemon/src/api/system.rs
@@ -1,4 +1,4 @@
-//! Health, metrics, the state dump, and what goes around every call.
+//! Health checks, metrics, the state dump, and the middleware around every request.
 
 use axum::Json;
 use axum::extract::Request;
@@ -13,11 +13,11 @@
 use stoatwell_model::Failure;
 use stoatwell_platform::Platform;
 
-use crate::api::Shared;
+use crate::api::ApiState;
 use crate::api::auth;
 use crate::api::reply;
-use crate::api::reply::Refusal;
-use crate::core::GetDump;
+use crate::api::reply::ErrorResponse;
+use crate::engine_actor::GetDump;
 
 const REQUEST_ID_HEADER: &str = "x-request-id";
 const REQUEST_ID_BYTES_MAX: usize = 64;
@@ -27,36 +27,37 @@
 }
 
 pub(crate) async fn readyz<P: Platform>(
-    State(shared): State<Shared<P>>,
-) -> Result<&'static str, Refusal> {
-    if shared.status.borrow().ready {
+    State(state): State<ApiState<P>>,
+) -> Result<&'static str, ErrorResponse> {
+    if state.status.borrow().ready {
         return Ok("ready\n");
     }
     Err(Failure::new(Code::NotReady).into())
 }
 
-pub(crate) async fn metrics<P: Platform>(State(shared): State<Shared<P>>) -> String {
-    shared.metrics.render()
+pub(crate) async fn metrics<P: Platform>(State(state): State<ApiState<P>>) -> String {
+    state.metrics.render()
 }
 
 pub(crate) async fn state<P: Platform>(
-    State(shared): State<Shared<P>>,
+    State(state): State<ApiState<P>>,
     headers: HeaderMap,
-) -> Result<Response, Refusal> {
-    auth::operator(&shared, &headers)?;
-    match shared.core.ask(GetDump).await {
+) -> Result<Response, ErrorResponse> {
+    auth::require_operator(&state, &headers)?;
+    match state.actor.ask(GetDump).await {
         Ok(dump) => Ok(Json(*dump).into_response()),
-        Err(_ended) => Err(reply::ended()),
+        Err(_ended) => Err(reply::stopping()),
     }
 }
 
-pub(crate) async fn no_such_path() -> Refusal {
-    Refusal(Failure::new(Code::NoSuchPath))
+pub(crate) async fn no_such_path() -> ErrorResponse {
+    ErrorResponse(Failure::new(Code::NoSuchPath))
 }
 
-/// Gives every call a request id, its own or a new one, and counts it.
-pub(crate) async fn around<P: Platform>(
-    State(shared): State<Shared<P>>,
+/// Middleware that returns each request's id, the caller's own or a new one, counts
+/// the response by its status and logs it.
+pub(crate) async fn track_request<P: Platform>(
+    State(state): State<ApiState<P>>,
     request: Request,
     next: Next,
 ) -> Response {
@@ -65,7 +66,7 @@
     let path = request.uri().path().to_owned();
     let mut response = next.run(request).await;
     let status = response.status();
-    shared.metrics.count_http(status.as_u16());
+    state.metrics.count_http(status.as_u16());
     if status == StatusCode::INTERNAL_SERVER_ERROR {
         tracing::error!(request = %id, %method, path, status = status.as_u16(), "call answered");
     } else {
--- a/crates/daemon/src/api/targets.rs
+++ b/crates/daemon/src/api/targets.rs
@@ -1,4 +1,4 @@
-//! Targets: start, drain, retire.
+//! Handlers for targets: list, start, drain and retire.
 
 use axum::Json;
 use axum::body::Bytes;
@@ -22,20 +22,20 @@
 use stoatwell_model::target::TargetChange;
 use stoatwell_platform::Platform;
 
-use crate::api::Shared;
+use crate::api::ApiState;
 use crate::api::auth;
 use crate::api::entries::change;
-use crate::api::entries::expected;
-use crate::api::reply::Refusal;
+use crate::api::entries::expected_revision;
+use crate::api::reply::ErrorResponse;
 
-/// All targets.
+/// All targets, with the catalogue's revision.
 #[derive(Debug, Serialize)]
-struct Listed {
+struct TargetList {
     revision: u64,
     targets: Vec<Versioned>,
 }
 
-/// Whom a target shall serve.
+/// The body of a start request: the owner that the target is to serve.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Start {
@@ -43,65 +43,65 @@
 }
 
 pub(crate) async fn list<P: Platform>(
-    State(shared): State<Shared<P>>,
+    State(state): State<ApiState<P>>,
     headers: HeaderMap,
-) -> Result<Response, Refusal> {
-    auth::caller(&shared, &headers)?;
-    let catalogue = shared.catalogue();
+) -> Result<Response, ErrorResponse> {
+    auth::authenticate(&state, &headers)?;
+    let catalogue = state.catalogue();
     let mut targets = Vec::new();
     for (_, versioned) in catalogue.items() {
         if matches!(versioned.item, Item::Target(_)) {
             targets.push(versioned.clone());
         }
     }
-    Ok(Json(Listed { revision: catalogue.revision(), targets }).into_response())
+    Ok(Json(TargetList { revision: catalogue.revision(), targets }).into_response())
 }
 
 pub(crate) async fn start<P: Platform>(
-    State(shared): State<Shared<P>>,
+    State(state): State<ApiState<P>>,
     Path(worker): Path<String>,
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
-) -> Result<Response, Refusal> {
+) -> Result<Response, ErrorResponse> {
     let body = body?;
     let start: Start = serde_json::from_slice(&body)
         .map_err(|error| Failure::with_detail(Code::BrokenJson, error))?;
-    if shared.catalogue().owner(&start.owner).is_none() {
+    if state.catalogue().owner(&start.owner).is_none() {
         return Err(
             Failure::with_detail(Code::NoSuchEntry, format!("owner {}", start.owner)).into()
         );
     }
-    step(&shared, &worker, &headers, TargetChange::Start { owner: start.owner }).await
+    change_target(&state, &worker, &headers, TargetChange::Start { owner: start.owner }).await
 }
 
 pub(crate) async fn drain<P: Platform>(
-    State(shared): State<Shared<P>>,
+    State(state): State<ApiState<P>>,
     Path(worker): Path<String>,
     headers: HeaderMap,
-) -> Result<Response, Refusal> {
-    step(&shared, &worker, &headers, TargetChange::Drain).await
+) -> Result<Response, ErrorResponse> {
+    change_target(&state, &worker, &headers, TargetChange::Drain).await
 }
 
 pub(crate) async fn retire<P: Platform>(
-    State(shared): State<Shared<P>>,
+    State(state): State<ApiState<P>>,
     Path(worker): Path<String>,
     headers: HeaderMap,
-) -> Result<Response, Refusal> {
-    step(&shared, &worker, &headers, TargetChange::Retire).await
+) -> Result<Response, ErrorResponse> {
+    change_target(&state, &worker, &headers, TargetChange::Retire).await
 }
 
-async fn step<P: Platform>(
-    shared: &Shared<P>,
+async fn change_target<P: Platform>(
+    state: &ApiState<P>,
     worker: &str,
     headers: &HeaderMap,
     target_change: TargetChange,
-) -> Result<Response, Refusal> {
-    let caller = auth::operator(shared, headers)?;
+) -> Result<Response, ErrorResponse> {
+    let caller = auth::require_operator(state, headers)?;
     if !is_valid_name(worker) {
         return Err(Failure::with_detail(Code::BadParameter, "that is no worker's name").into());
     }
     let worker = WorkerId::new(worker);
-    let expected = expected(headers)?;
+    let expected = expected_revision(headers)?;
     let key = target_key(&worker);
-    change(shared, &caller, key, EditKind::Target(worker, target_change), expected).await
+    change(state, &caller, key, EditKind::Target(worker, target_change), expected).await
 }
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/engine_actor.rs
@@ -1,7 +1,7 @@
-//! The actor that owns the engine and carries its effects out.
+//! The actor that owns the engine and executes its effects.
 //!
-//! Every call to the outside runs in a task of its own, and its result comes
-//! back as a message, so the engine sees one event after the other.
+//! Every call to the platform or to another daemon runs in a task of its own. Its
+//! result comes back as a message, so the engine handles one event at a time.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -30,9 +30,9 @@
 
 use crate::clock::Clock;
 
-/// The actor.
+/// The actor: the engine, its clients, and the callers that wait for answers.
 #[derive(Debug)]
-pub struct Core<P: Platform> {
+pub struct EngineActor<P: Platform> {
     engine: Engine,
     platform: Arc<P>,
     peers: Peers,
@@ -40,29 +40,29 @@
     tickets: HashMap<Ticket, oneshot::Sender<Answer>>,
     next_ticket: Ticket,
     status: watch::Sender<Status>,
-    itself: Option<ActorRef<Self>>,
+    actor_ref: Option<ActorRef<Self>>,
 }
 
-/// What the parts around the actor see of it.
+/// The part of the engine's state that the HTTP API and [`crate::run`] read.
 #[derive(Clone, Debug, Default)]
 pub struct Status {
     /// Whether callers and operators can be served.
     pub ready: bool,
-    /// Whether everything was handed over.
+    /// Whether the shutdown is complete and all work has been handed over.
     pub stopped: bool,
-    /// The catalogue in force.
+    /// The catalogue that the daemon currently applies.
     pub catalogue: Arc<Catalogue>,
 }
 
-/// Something happened that nobody waits for.
+/// An event for the engine that nobody waits for an answer to.
 #[derive(Debug)]
-pub struct Happened(pub Event);
+pub struct HandleEvent(pub Event);
 
-/// Somebody asks; the answer comes through the channel.
+/// An event for the engine whose answer is sent through a channel.
 pub struct Question {
-    /// Makes the event once its ticket is known.
+    /// Builds the event; called with the ticket that identifies the answer.
     pub event: Box<dyn FnOnce(Ticket) -> Event + Send>,
-    /// Where the answer goes.
+    /// Receives the answer; dropped without one if the actor ends first.
     pub answer: oneshot::Sender<Answer>,
 }
 
@@ -72,12 +72,12 @@
     }
 }
 
-/// Asks for the state dump.
+/// Requests the state dump.
 #[derive(Clone, Copy, Debug)]
 pub struct GetDump;
 
-impl<P: Platform> Core<P> {
-    /// An actor that is not started yet.
+impl<P: Platform> EngineActor<P> {
+    /// An actor that has yet to be spawned. Before that it executes no effects.
     pub fn new(
         engine: Engine,
         platform: Arc<P>,
@@ -93,14 +93,14 @@
             tickets: HashMap::new(),
             next_ticket: 0,
             status,
-            itself: None,
+            actor_ref: None,
         }
     }
 
     fn handle_event(&mut self, event: Event) {
         let effects = self.engine.handle(self.clock.now_ms(), event);
         for effect in effects {
-            self.carry_out(effect);
+            self.execute(effect);
         }
         self.publish();
     }
@@ -118,15 +118,15 @@
             }
             if status.catalogue.revision() != revision {
                 status.catalogue = Arc::new(self.engine.catalogue().clone());
-                tracing::info!(revision, "catalogue in force");
+                tracing::info!(revision, "catalogue updated");
                 changed = true;
             }
             changed
         });
     }
 
-    fn carry_out(&mut self, effect: Effect) {
-        let Some(itself) = self.itself.clone() else {
+    fn execute(&mut self, effect: Effect) {
+        let Some(actor_ref) = self.actor_ref.clone() else {
             return;
         };
         let platform = Arc::clone(&self.platform);
@@ -134,20 +134,20 @@
             Effect::Store { op, call } => {
                 tokio::spawn(async move {
                     let reply = platform.store(call).await;
-                    notify(&itself, Event::StoreDone { op, reply }).await;
+                    send_event(&actor_ref, Event::StoreDone { op, reply }).await;
                 });
             }
             Effect::Worker { op, worker, address, call } => {
-                tracing::trace!(%worker, %address, "worker called");
+                tracing::trace!(%worker, %address, "calling worker");
                 tokio::spawn(async move {
                     let reply = platform.worker(&address, &worker, call).await;
-                    notify(&itself, Event::WorkerDone { op, reply }).await;
+                    send_event(&actor_ref, Event::WorkerDone { op, reply }).await;
                 });
             }
             Effect::Minion { op, minion, address, call } => {
                 tokio::spawn(async move {
                     let reply = platform.minion(&address, &minion, call).await;
-                    notify(&itself, Event::MinionDone { op, reply }).await;
+                    send_event(&actor_ref, Event::MinionDone { op, reply }).await;
                 });
             }
             Effect::Peer { op, address, call, timeout_ms } => {
@@ -155,7 +155,7 @@
                 tokio::spawn(async move {
                     let limit = Duration::from_millis(timeout_ms);
                     let reply = peers.call(&address, &call, limit).await.map_err(call_error);
-                    notify(&itself, Event::PeerDone { op, reply }).await;
+                    send_event(&actor_ref, Event::PeerDone { op, reply }).await;
                 });
             }
             Effect::Answer { ticket, answer } => self.answer(ticket, answer),
@@ -168,24 +168,24 @@
         {
             let (job, entry, owner, state) = (view.job, &view.entry, &view.owner, view.state);
             if state == JobState::Unknown {
-                tracing::warn!(%job, %entry, %owner, %state, "job answered");
+                tracing::warn!(%job, %entry, %owner, %state, "answering with the final state of the job");
             } else {
-                tracing::debug!(%job, %entry, %owner, %state, "job answered");
+                tracing::debug!(%job, %entry, %owner, %state, "answering with the final state of the job");
             }
         }
         let Some(sender) = self.tickets.remove(&ticket) else {
             return;
         };
-        // The caller may have gone; its work goes on all the same.
+        // The caller may have disconnected; its job continues all the same.
         if sender.send(answer).is_err() {
-            tracing::debug!(ticket, "nobody waits for the answer any more");
+            tracing::debug!(ticket, "caller disconnected; answer dropped");
         }
     }
 }
 
-async fn notify<P: Platform>(core: &ActorRef<Core<P>>, event: Event) {
-    if let Err(error) = core.tell(Happened(event)).await {
-        tracing::debug!(%error, "the daemon has ended");
+async fn send_event<P: Platform>(actor: &ActorRef<EngineActor<P>>, event: Event) {
+    if let Err(error) = actor.tell(HandleEvent(event)).await {
+        tracing::debug!(%error, "engine actor has ended; event dropped");
     }
 }
 
@@ -196,25 +196,25 @@
     }
 }
 
-impl<P: Platform> Actor for Core<P> {
+impl<P: Platform> Actor for EngineActor<P> {
     type Args = Self;
     type Error = Infallible;
 
     async fn on_start(mut args: Self, actor_ref: ActorRef<Self>) -> Result<Self, Infallible> {
-        args.itself = Some(actor_ref);
+        args.actor_ref = Some(actor_ref);
         Ok(args)
     }
 }
 
-impl<P: Platform> Message<Happened> for Core<P> {
+impl<P: Platform> Message<HandleEvent> for EngineActor<P> {
     type Reply = ();
 
-    async fn handle(&mut self, Happened(event): Happened, _context: &mut Context<Self, ()>) {
+    async fn handle(&mut self, HandleEvent(event): HandleEvent, _context: &mut Context<Self, ()>) {
         self.handle_event(event);
     }
 }
 
-impl<P: Platform> Message<Question> for Core<P> {
+impl<P: Platform> Message<Question> for EngineActor<P> {
     type Reply = ();
 
     async fn handle(&mut self, msg: Question, _context: &mut Context<Self, ()>) {
@@ -225,7 +225,7 @@
     }
 }
 
-impl<P: Platform> Message<GetDump> for Core<P> {
+impl<P: Platform> Message<GetDump> for EngineActor<P> {
     type Reply = Box<Dump>;
 
     async fn handle(
@@ -237,25 +237,26 @@
     }
 }
 
-/// Asks the actor and waits for the answer; `None` once it has ended.
+/// Sends an event to the actor and waits for the answer; `None` if the actor has ended.
 pub async fn ask<P: Platform>(
-    core: &ActorRef<Core<P>>,
+    actor: &ActorRef<EngineActor<P>>,
     event: impl FnOnce(Ticket) -> Event + Send + 'static,
 ) -> Option<Answer> {
     let (sender, receiver) = oneshot::channel();
     let question = Question { event: Box::new(event), answer: sender };
-    if core.tell(question).await.is_err() {
+    if actor.tell(question).await.is_err() {
         return None;
     }
     receiver.await.ok()
 }
 
-/// Passes a peer's call to the engine.
-pub async fn answer_peer<P: Platform>(
-    core: ActorRef<Core<P>>,
+/// Passes a call from another daemon to the engine and returns its reply;
+/// `PeerReply::Noted` if there is none.
+pub async fn handle_peer_call<P: Platform>(
+    actor: ActorRef<EngineActor<P>>,
     call: PeerCall,
 ) -> stoatwell_engine::PeerReply {
-    match ask(&core, move |ticket| Event::Peer { ticket, call }).await {
+    match ask(&actor, move |ticket| Event::Peer { ticket, call }).await {
         Some(Answer::Peer(reply)) => reply,
         Some(Answer::Job(result)) => stoatwell_engine::PeerReply::Job(result),
         Some(Answer::Edited(_) | Answer::Store(_)) | None => stoatwell_engine::PeerReply::Noted,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,12 +1,13 @@
 //! The daemon that runs on every entry instance.
 //!
-//! A `kameo` actor ([`core`]) owns the engine and carries its effects out;
-//! around it stand the HTTP interface ([`api`]), the listener for other
-//! daemons, and the planned stop ([`run`]). All decisions are the engine's.
+//! A `kameo` actor ([`engine_actor`]) owns the engine and executes its effects.
+//! The HTTP API ([`api`]) and the listener for other daemons pass events to it, and
+//! [`run`] starts all of this and shuts it down gracefully. All decisions are made
+//! by the engine.
 
 pub mod api;
 pub mod clock;
-pub mod core;
+pub mod engine_actor;
 pub mod logs;
 pub mod metrics;
 pub mod run;
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines.
+//! Set-up of logging.
 
 use std::env;
 use std::io;
@@ -8,7 +8,8 @@
 use stoatwell_settings::Settings;
 use tracing_subscriber::EnvFilter;
 
-/// Writes log lines to standard error from now on.
+/// Installs the subscriber that writes log lines to standard error, unless the
+/// process has one already.
 pub fn init(settings: &Settings) {
     let filter = EnvFilter::new(&settings.log.level);
     let colours = io::stderr().is_terminal() && env::var_os("NO_COLOR").is_none();
@@ -21,6 +22,6 @@
         LogFormat::Text => builder.try_init(),
     };
     if let Err(error) = result {
-        tracing::debug!(%error, "logs were set up before");
+        tracing::debug!(%error, "logging was already initialised; keeping the existing subscriber");
     }
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon as a program.
+//! The `stoatwelld` binary: its command line, its signals and its exit statuses.
 
 use std::fs;
 use std::process::ExitCode;
@@ -15,11 +15,11 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// Exit status for settings that have mistakes.
+/// Exit status if the settings are missing, unreadable or invalid.
 const EXIT_SETTINGS: u8 = 2;
-/// Exit status for a daemon that could not start.
+/// Exit status if the daemon could not start.
 const EXIT_START: u8 = 3;
-/// Exit status after a second signal.
+/// Exit status if a second signal ended the shutdown early.
 const EXIT_FORCED: u8 = 4;
 
 fn main() -> ExitCode {
@@ -89,28 +89,28 @@
     let (mut terminate, mut interrupt) = match signals {
         Ok(signals) => signals,
         Err(error) => {
-            tracing::error!(%error, "signals cannot be heard");
+            tracing::error!(%error, "cannot install the signal handlers; exiting");
             return ExitCode::from(EXIT_START);
         }
     };
     let daemon = match Daemon::start(settings).await {
         Ok(daemon) => daemon,
         Err(error) => {
-            tracing::error!(%error, "the daemon cannot start");
+            tracing::error!(%error, "daemon failed to start; exiting");
             return ExitCode::from(EXIT_START);
         }
     };
-    first_of(&mut terminate, &mut interrupt).await;
+    wait_for_signal(&mut terminate, &mut interrupt).await;
     tokio::select! {
         () = daemon.stop() => ExitCode::SUCCESS,
-        () = first_of(&mut terminate, &mut interrupt) => {
-            tracing::warn!("second signal, ending at once");
+        () = wait_for_signal(&mut terminate, &mut interrupt) => {
+            tracing::warn!("received a second signal; exiting without waiting for the shutdown");
             ExitCode::from(EXIT_FORCED)
         }
     }
 }
 
-async fn first_of(terminate: &mut Signal, interrupt: &mut Signal) {
+async fn wait_for_signal(terminate: &mut Signal, interrupt: &mut Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of one daemon; `docs/metrics.md` lists them.
+//! The metrics of one daemon; `docs/metrics.md` lists them.
 
 use std::fmt;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use stoatwell_engine::Dump;
 use stoatwell_peer::TrafficCounts;
 
-/// Name and meaning of every gauge.
+/// Name and help text of every gauge.
 pub const GAUGES: &[(&str, &str)] = &[
     ("stoatwell_ready", "1 while callers are served"),
     ("stoatwell_catalogue_revision", "revision of the catalogue in force"),
@@ -34,7 +34,7 @@
     ("stoatwell_peers_heard", "other daemons heard of late"),
 ];
 
-/// Name and meaning of every counter.
+/// Name and help text of every counter.
 pub const COUNTERS: &[(&str, &str)] = &[
     ("stoatwell_tasks_placed_total", "tasks that got a worker"),
     ("stoatwell_placements_refused_total", "searches for a worker that found none"),
@@ -51,10 +51,11 @@
     ("stoatwell_http_requests_total", "answers of the HTTP interface by status"),
 ];
 
-/// A daemon counts as heard of late within this time.
-const HEARD_MS: u64 = 3_000;
+/// A daemon counts as heard recently if its last heartbeat is younger than this.
+const RECENT_HEARTBEAT_MS: u64 = 3_000;
 
-/// The recorder of one daemon; several daemons may share a process in tests.
+/// The recorder of one daemon. It is not global, as several daemons share a process
+/// in tests.
 #[derive(Clone)]
 pub struct Metrics {
     recorder: Arc<PrometheusRecorder>,
@@ -70,11 +71,11 @@
     fn default() -> Self {
         let recorder = PrometheusBuilder::new().build_recorder();
         with_local_recorder(&recorder, || {
-            for (name, meaning) in GAUGES {
-                describe_gauge!(*name, *meaning);
+            for (name, help) in GAUGES {
+                describe_gauge!(*name, *help);
             }
-            for (name, meaning) in COUNTERS {
-                describe_counter!(*name, *meaning);
+            for (name, help) in COUNTERS {
+                describe_counter!(*name, *help);
             }
         });
         Self { recorder: Arc::new(recorder) }
@@ -82,19 +83,19 @@
 }
 
 impl Metrics {
-    /// The metrics in Prometheus text.
+    /// The metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         self.recorder.handle().render()
     }
 
-    /// Counts one answer of the HTTP interface.
+    /// Counts one HTTP response by its status.
     pub fn count_http(&self, status: u16) {
         with_local_recorder(&*self.recorder, || {
             counter!("stoatwell_http_requests_total", "status" => status.to_string()).increment(1);
         });
     }
 
-    /// Takes over what the engine and the connections counted.
+    /// Sets all gauges and counters from a state dump and the traffic between daemons.
     pub fn observe(&self, dump: &Dump, traffic: TrafficCounts) {
         with_local_recorder(&*self.recorder, || {
             set_gauges(dump);
@@ -107,8 +108,10 @@
     let held = dump.workers.iter().filter(|worker| worker.lease_left_ms.is_some());
     let quarantined = dump.workers.iter().filter(|worker| worker.quarantined);
     let tasks: usize = dump.workers.iter().map(|worker| worker.tasks).sum();
-    let heard =
-        dump.peers.iter().filter(|peer| peer.heard_ms_ago.is_some_and(|ago_ms| ago_ms < HEARD_MS));
+    let heard = dump
+        .peers
+        .iter()
+        .filter(|peer| peer.heard_ms_ago.is_some_and(|ago_ms| ago_ms < RECENT_HEARTBEAT_MS));
     let queued: usize = dump.queues.iter().map(|queue| queue.jobs).sum();
     let open: usize = dump.jobs.by_state.values().sum();
     gauge!("stoatwell_ready").set(f64::from(u8::from(dump.ready)));
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting a daemon and stopping it.
+//! Starts a daemon and shuts it down.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,36 +26,38 @@
 
 use crate::api;
 use crate::clock::Clock;
-use crate::core::Core;
-use crate::core::GetDump;
-use crate::core::Happened;
-use crate::core::Status;
-use crate::core::answer_peer;
+use crate::engine_actor::EngineActor;
+use crate::engine_actor::GetDump;
+use crate::engine_actor::HandleEvent;
+use crate::engine_actor::Status;
+use crate::engine_actor::handle_peer_call;
 use crate::metrics::Metrics;
 
-const TICK: Duration = Duration::from_millis(50);
-/// Ticks between two updates of the metrics.
-const TICKS_PER_METRICS: u64 = 20;
-/// For answers that are being written when everything else is done.
-const LAST_ANSWERS: Duration = Duration::from_secs(2);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// The metrics are updated on every tick of this number, which is once a second.
+const TICKS_PER_METRICS_UPDATE: u64 = 20;
+/// How long the HTTP server may take to finish writing responses once all work has
+/// ended or the grace period is over.
+const RESPONSE_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A running daemon. Dropping it ends it without a planned stop.
+/// A running daemon. Dropping it aborts its tasks without a graceful shutdown.
 #[derive(Debug)]
 pub struct Daemon<P: Platform = HttpPlatform> {
-    /// Where callers and operators reach it.
+    /// The bound address of the HTTP API, which callers and operators use.
     pub http_address: SocketAddr,
-    /// Where other daemons reach it.
+    /// The bound address for calls from other daemons.
     pub peer_address: SocketAddr,
-    core: ActorRef<Core<P>>,
+    actor: ActorRef<EngineActor<P>>,
     status: watch::Receiver<Status>,
     settings: Settings,
-    tasks: Vec<JoinHandle<()>>,
-    server: Option<JoinHandle<()>>,
-    close: Option<oneshot::Sender<()>>,
+    background_tasks: Vec<JoinHandle<()>>,
+    http_server: Option<JoinHandle<()>>,
+    close_sender: Option<oneshot::Sender<()>>,
 }
 
 impl Daemon<HttpPlatform> {
-    /// Starts a daemon that reaches the platform over HTTP.
+    /// Starts a daemon that calls the platform over HTTP. Fails if one of its two
+    /// addresses cannot be bound.
     pub async fn start(settings: Settings) -> io::Result<Self> {
         let timeouts = CallTimeouts {
             store_ms: settings.platform.store_timeout_ms,
@@ -67,12 +69,13 @@
 }
 
 impl<P: Platform> Daemon<P> {
-    /// Starts a daemon on this platform.
+    /// Starts a daemon on the given platform. Fails if one of its two addresses
+    /// cannot be bound.
     pub async fn start_on(settings: Settings, platform: Arc<P>) -> io::Result<Self> {
-        let http = TcpListener::bind(settings.listen.http_address).await?;
-        let peer = TcpListener::bind(settings.listen.peer_address).await?;
-        let http_address = http.local_addr()?;
-        let peer_address = peer.local_addr()?;
+        let http_listener = TcpListener::bind(settings.listen.http_address).await?;
+        let peer_listener = TcpListener::bind(settings.listen.peer_address).await?;
+        let http_address = http_listener.local_addr()?;
+        let peer_address = peer_listener.local_addr()?;
         let clock = Clock::start();
         let identity = Identity {
             daemon: settings.daemon.name.clone(),
@@ -85,133 +88,138 @@
         let peers = Peers::new(&settings.security.peer_key, traffic.clone());
         let engine = Engine::new(identity, settings.clone(), clock.now_ms());
         let (status_sender, status) = watch::channel(Status::default());
-        let actor = Core::new(engine, platform, peers, clock, status_sender);
-        let core = Core::spawn_with_mailbox(actor, mailbox::unbounded());
+        let unstarted_actor = EngineActor::new(engine, platform, peers, clock, status_sender);
+        let actor = EngineActor::spawn_with_mailbox(unstarted_actor, mailbox::unbounded());
         let metrics = Metrics::default();
-        let (close, closed) = oneshot::channel();
-        let server = serve_http(http, &core, &status, &settings, &metrics, closed);
-        let tasks = vec![
-            serve_peers(peer, &core, &settings, traffic.clone()),
-            tick(core.clone(), metrics, traffic),
+        let (close_sender, close_receiver) = oneshot::channel();
+        let http_server =
+            serve_http(http_listener, &actor, &status, &settings, &metrics, close_receiver);
+        let background_tasks = vec![
+            serve_peers(peer_listener, &actor, &settings, traffic.clone()),
+            spawn_ticker(actor.clone(), metrics, traffic),
         ];
         tracing::info!(%http_address, %peer_address, daemon = %settings.daemon.name, "daemon started");
         Ok(Self {
             http_address,
             peer_address,
-            core,
+            actor,
             status,
             settings,
-            tasks,
-            server: Some(server),
-            close: Some(close),
+            background_tasks,
+            http_server: Some(http_server),
+            close_sender: Some(close_sender),
         })
     }
 
-    /// Waits until callers can be served.
-    pub async fn ready(&self) {
+    /// Waits until the daemon is ready to serve callers, or has ended.
+    pub async fn wait_until_ready(&self) {
         let mut status = self.status.clone();
-        // An error means that the daemon has ended, and nobody can wait for it.
+        // The channel is closed only when the daemon has ended, so it cannot become ready.
         if status.wait_for(|status| status.ready).await.is_err() {
-            tracing::debug!("the daemon ended before it was ready");
+            tracing::debug!("daemon ended before it became ready");
         }
     }
 
-    /// The catalogue revision in force.
+    /// The revision of the catalogue that the daemon currently applies.
     pub fn revision(&self) -> u64 {
         self.status.borrow().catalogue.revision()
     }
 
-    /// Stops as planned: nothing new, nothing in flight cut, work handed over;
-    /// at the latest after the grace time of the settings.
+    /// Shuts down gracefully: takes no new work, lets requests in flight finish and
+    /// hands its work over to other daemons. Ends after `stop.grace_ms` at the latest,
+    /// plus the time for the last responses.
     pub async fn stop(mut self) {
-        tracing::info!(daemon = %self.settings.daemon.name, "planned stop begins");
+        tracing::info!(daemon = %self.settings.daemon.name, "graceful shutdown started");
         let grace = Duration::from_millis(self.settings.stop.grace_ms);
-        if self.core.tell(Happened(Event::Stop)).await.is_err() {
+        if self.actor.tell(HandleEvent(Event::Stop)).await.is_err() {
             return;
         }
         let mut status = self.status.clone();
-        let over = timeout(grace, status.wait_for(|status| status.stopped)).await.is_err();
-        if over {
-            tracing::warn!(daemon = %self.settings.daemon.name, "grace time over, work was left to others");
+        let timed_out = timeout(grace, status.wait_for(|status| status.stopped)).await.is_err();
+        if timed_out {
+            tracing::warn!(daemon = %self.settings.daemon.name, "grace period expired; other daemons take over the remaining work");
         }
-        if let Some(close) = self.close.take()
-            && close.send(()).is_err()
+        if let Some(close_sender) = self.close_sender.take()
+            && close_sender.send(()).is_err()
         {
-            tracing::debug!("the server has ended");
+            tracing::debug!("HTTP server had already ended");
         }
-        if let Some(server) = self.server.take()
-            && timeout(LAST_ANSWERS, server).await.is_err()
+        if let Some(http_server) = self.http_server.take()
+            && timeout(RESPONSE_FLUSH_TIMEOUT, http_server).await.is_err()
         {
-            tracing::warn!("some callers did not take their answers");
+            tracing::warn!(
+                "HTTP server did not finish sending responses in time; some callers may not get theirs"
+            );
         }
-        tracing::info!(daemon = %self.settings.daemon.name, "planned stop done");
+        tracing::info!(daemon = %self.settings.daemon.name, "graceful shutdown finished");
     }
 }
 
 impl<P: Platform> Drop for Daemon<P> {
     fn drop(&mut self) {
-        for task in &self.tasks {
+        for task in &self.background_tasks {
             task.abort();
         }
-        if let Some(server) = &self.server {
-            server.abort();
+        if let Some(http_server) = &self.http_server {
+            http_server.abort();
         }
-        self.core.kill();
+        self.actor.kill();
     }
 }
 
 fn serve_http<P: Platform>(
     listener: TcpListener,
-    core: &ActorRef<Core<P>>,
+    actor: &ActorRef<EngineActor<P>>,
     status: &watch::Receiver<Status>,
     settings: &Settings,
     metrics: &Metrics,
-    closed: oneshot::Receiver<()>,
+    close_receiver: oneshot::Receiver<()>,
 ) -> JoinHandle<()> {
-    let state = api::Shared::new(core.clone(), status.clone(), settings.clone(), metrics.clone());
+    let state =
+        api::ApiState::new(actor.clone(), status.clone(), settings.clone(), metrics.clone());
     let router = api::router(state);
     tokio::spawn(async move {
         let serving = axum::serve(listener, router).with_graceful_shutdown(async move {
-            // A dropped sender closes as well.
-            closed.await.unwrap_or_default();
+            // A dropped sender also starts the shutdown of the server.
+            close_receiver.await.unwrap_or_default();
         });
         if let Err(error) = serving.await {
-            tracing::error!(%error, "the HTTP server ended");
+            tracing::error!(%error, "HTTP server failed; the daemon serves no more callers");
         }
     })
 }
 
 fn serve_peers<P: Platform>(
     listener: TcpListener,
-    core: &ActorRef<Core<P>>,
+    actor: &ActorRef<EngineActor<P>>,
     settings: &Settings,
     traffic: Traffic,
 ) -> JoinHandle<()> {
-    let core = core.clone();
+    let actor = actor.clone();
     let key = settings.security.peer_key.clone();
     tokio::spawn(async move {
-        let handler = move |call| answer_peer(core.clone(), call);
+        let handler = move |call| handle_peer_call(actor.clone(), call);
         if let Err(error) = stoatwell_peer::serve(listener, key, traffic, handler).await {
-            tracing::error!(%error, "the listener for peers ended");
+            tracing::error!(%error, "peer listener failed; the daemon receives no more calls from other daemons");
         }
     })
 }
 
-fn tick<P: Platform>(
-    core: ActorRef<Core<P>>,
+fn spawn_ticker<P: Platform>(
+    actor: ActorRef<EngineActor<P>>,
     metrics: Metrics,
     traffic: Traffic,
 ) -> JoinHandle<()> {
     tokio::spawn(async move {
-        let mut interval = tokio::time::interval(TICK);
+        let mut interval = tokio::time::interval(TICK_INTERVAL);
         interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
         for count in 0_u64.. {
             interval.tick().await;
-            if core.tell(Happened(Event::Tick)).await.is_err() {
+            if actor.tell(HandleEvent(Event::Tick)).await.is_err() {
                 return;
             }
-            if count.is_multiple_of(TICKS_PER_METRICS)
-                && let Ok(dump) = core.ask(GetDump).await
+            if count.is_multiple_of(TICKS_PER_METRICS_UPDATE)
+                && let Ok(dump) = actor.ask(GetDump).await
             {
                 metrics.observe(&dump, traffic.counts());
             }
