--- a/crates/daemon/tests/api_page.rs
+++ b/crates/daemon/tests/api_page.rs
@@ -1,4 +1,4 @@
-//! Every example of `docs/api.md` is run as it stands there.
+//! Runs every example of `docs/api.md` against a daemon.
 
 mod cell;
 
@@ -23,13 +23,14 @@
     contains: String,
 }
 
-/// Somebody follows the page call by call; a page that lies costs an evening.
+/// Guards against documentation that has drifted from the API. The examples run in
+/// the order of the page.
 #[tokio::test(flavor = "multi_thread")]
-async fn examples_do_what_the_page_says() {
+async fn api_page_examples_give_the_documented_responses() {
     let page = fs::read_to_string(format!("{}/../../docs/api.md", env!("CARGO_MANIFEST_DIR")))
         .expect("docs/api.md");
     let examples = parse(&page);
-    assert!(examples.len() >= 20, "the page has examples");
+    assert!(examples.len() >= 20, "at least 20 examples found on the page");
     let group = WorkerGroup {
         prefix: "worker-".to_owned(),
         count: 1,
@@ -43,18 +44,18 @@
     };
     let standin = Standin::start(Config { workers: vec![group], ..Config::default() })
         .await
-        .expect("it starts");
+        .expect("the stand-in starts");
     let mut settings = stoatwell_settings::example("page");
     settings.platform.store_address = standin.address;
     settings.platform.instances_interval_ms = 100;
-    let daemon = Daemon::start(settings).await.expect("it starts");
+    let daemon = Daemon::start(settings).await.expect("the daemon starts");
     let http = cell::client();
     let mut job = String::new();
     for example in examples {
         let path = example.path.replace("{job}", &job);
         let url = format!("http://{}{path}", daemon.http_address);
-        // A target that was started a moment ago may have to be held first.
-        let mut shown = (0, String::new());
+        // After a target is started, the daemon must first acquire the worker's lease.
+        let mut last_response = (0, String::new());
         for _ in 0..100 {
             let mut request = http.request(example.method.clone(), &url).body(example.body.clone());
             for (name, value) in &example.headers {
@@ -62,17 +63,18 @@
             }
             let response = request.send().await.expect("an answer");
             assert!(response.headers().contains_key("x-request-id"));
-            shown = (response.status().as_u16(), response.text().await.expect("text"));
-            let wait = shown.1.contains("\"code\":7005") || shown.1.contains("\"code\":4005");
-            if !wait || example.status != 200 && example.status != 202 {
+            last_response = (response.status().as_u16(), response.text().await.expect("text"));
+            let retry = last_response.1.contains("\"code\":7005")
+                || last_response.1.contains("\"code\":4005");
+            if !retry || example.status != 200 && example.status != 202 {
                 break;
             }
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
         }
-        let (status, text) = shown;
-        let what = format!("{} {path}: {text}", example.method);
-        assert_eq!(status, example.status, "{what}");
-        assert!(text.replace(' ', "").contains(&example.contains.replace(' ', "")), "{what}");
+        let (status, text) = last_response;
+        let context = format!("{} {path}: {text}", example.method);
+        assert_eq!(status, example.status, "{context}");
+        assert!(text.replace(' ', "").contains(&example.contains.replace(' ', "")), "{context}");
         if let Ok(value) = serde_json::from_str::<Value>(&text)
             && let Some(found) = value["job"].as_str()
         {
@@ -84,8 +86,8 @@
 fn parse(page: &str) -> Vec<Example> {
     let mut examples = Vec::new();
     for block in page.split("```http\n").skip(1) {
-        let block = block.split("```").next().expect("it ends");
-        let (request, expected) = block.split_once("-> ").expect("what to expect");
+        let block = block.split("```").next().expect("the code block ends");
+        let (request, expected) = block.split_once("-> ").expect("an expected response after `->`");
         let mut lines = request.lines();
         let (method, path) =
             lines.next().and_then(|line| line.split_once(' ')).expect("a request line");
--- a/crates/daemon/tests/cell/mod.rs
+++ b/crates/daemon/tests/cell/mod.rs
@@ -1,5 +1,5 @@
-//! A whole cell in one process: the stand-in and daemons on free ports.
-#![allow(dead_code, reason = "each test binary uses a part of it")]
+//! A cell in one process: the platform stand-in and daemons, all on free ports.
+#![allow(dead_code, reason = "each test binary uses only some of the helpers")]
 
 use std::time::Duration;
 
@@ -20,9 +20,9 @@
 use stoatwell_standin::config::WorkerGroup;
 use stoatwelld::Daemon;
 
-/// Looks for something to become true, before a test gives up.
-const LOOKS: u32 = 600;
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// How often a condition is polled before the test fails.
+const POLL_ATTEMPTS: u32 = 600;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const GIB: u64 = 1 << 30;
 
 pub struct Cell {
@@ -33,20 +33,24 @@
 }
 
 impl Cell {
-    /// Daemons in these zones, each zone with three workers and their minions.
+    /// Starts one daemon for each of `zones`, and three workers with minions of the
+    /// group `sahay` in each zone.
     pub async fn start(zones: &[&str]) -> Self {
-        Self::start_with(zones, |_| {}).await
+        Self::start_with_settings(zones, |_| {}).await
     }
 
-    pub async fn start_with(zones: &[&str], change: impl Fn(&mut Settings)) -> Self {
-        Self::start_group(zones, "sahay", change).await
+    pub async fn start_with_settings(
+        zones: &[&str],
+        adjust_settings: impl Fn(&mut Settings),
+    ) -> Self {
+        Self::start_with_minions(zones, "sahay", adjust_settings).await
     }
 
-    /// With minions of this group.
-    pub async fn start_group(
+    /// As [`Self::start`], with minions of the group `minions`.
+    pub async fn start_with_minions(
         zones: &[&str],
         minions: &str,
-        change: impl Fn(&mut Settings),
+        adjust_settings: impl Fn(&mut Settings),
     ) -> Self {
         let mut workers = Vec::new();
         let mut names: Vec<&str> = zones.to_vec();
@@ -69,12 +73,17 @@
             .expect("the stand-in starts");
         let mut cell = Self { standin, daemons: Vec::new(), http: client(), addresses: Vec::new() };
         for (index, zone) in zones.iter().enumerate() {
-            cell.add_daemon(&format!("daemon-{index}"), zone, &change).await;
+            cell.add_daemon(&format!("daemon-{index}"), zone, &adjust_settings).await;
         }
         cell
     }
 
-    pub async fn add_daemon(&mut self, name: &str, zone: &str, change: &impl Fn(&mut Settings)) {
+    pub async fn add_daemon(
+        &mut self,
+        name: &str,
+        zone: &str,
+        adjust_settings: &impl Fn(&mut Settings),
+    ) {
         let mut settings = stoatwell_settings::example(name);
         settings.daemon.zone = ZoneName::new(zone);
         settings.platform.store_address = self.standin.address;
@@ -84,7 +93,7 @@
         settings.membership.silent_after_ms = 1_000;
         settings.ledger.sweep_ms = 200;
         settings.ledger.commits_per_second = 200;
-        change(&mut settings);
+        adjust_settings(&mut settings);
         let daemon = Daemon::start(settings).await.expect("the daemon starts");
         self.standin.set_instance(Instance {
             name: name.to_owned(),
@@ -98,8 +107,8 @@
         self.daemons.push(Some(daemon));
     }
 
-    /// Applies an example's entries and lets its owner have all targets.
-    pub async fn load(&self, example: &str, owner: &str) {
+    /// Applies the entries of an example and starts all targets for `owner`.
+    pub async fn apply_example(&self, example: &str, owner: &str) {
         let path = format!("{}/../../examples/{example}.json", env!("CARGO_MANIFEST_DIR"));
         let document: Value =
             serde_json::from_str(&std::fs::read_to_string(path).expect("an example"))
@@ -125,13 +134,14 @@
                 self.call(0, Method::POST, &path, Some(&json!({ "owner": owner }))).await;
             assert!(response.status().is_success(), "{worker}: {}", response.status());
         }
-        self.until_held().await;
+        self.wait_until_held().await;
     }
 
-    /// Waits until every worker has its holder and the catalogue is in force everywhere.
-    pub async fn until_held(&self) {
-        let all = self.workers().len();
-        for _ in 0..LOOKS {
+    /// Waits until a daemon holds the lease of every worker and all daemons have the
+    /// same catalogue revision.
+    pub async fn wait_until_held(&self) {
+        let worker_count = self.workers().len();
+        for _ in 0..POLL_ATTEMPTS {
             let mut held = 0;
             let mut revisions = Vec::new();
             for index in 0..self.daemons.len() {
@@ -144,12 +154,12 @@
                 revisions.push(state["catalogue"]["revision"].as_u64());
             }
             revisions.dedup();
-            if held == all && revisions.len() == 1 {
+            if held == worker_count && revisions.len() == 1 {
                 return;
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        panic!("the workers have no holders");
+        panic!("some workers are not held, or the catalogue revisions differ");
     }
 
     pub fn workers(&self) -> Vec<String> {
@@ -193,10 +203,10 @@
         (status, response.json().await.expect("JSON"))
     }
 
-    /// Submits and waits for the final view.
-    pub async fn finish(&self, index: usize, key: &str, submission: &Value) -> Value {
+    /// Submits and polls the job until it has ended; returns its last view.
+    pub async fn run_to_end(&self, index: usize, key: &str, submission: &Value) -> Value {
         let (_, mut view) = self.submit(index, key, submission, 5_000).await;
-        for _ in 0..LOOKS {
+        for _ in 0..POLL_ATTEMPTS {
             if !matches!(view["state"].as_str(), Some("queued" | "running")) {
                 return view;
             }
@@ -204,7 +214,7 @@
             let path = format!("/v1/jobs/{job}?wait_ms=5000");
             view = self.call(index, Method::GET, &path, None).await.json().await.expect("JSON");
         }
-        panic!("{key} does not end: {view}");
+        panic!("job {key} did not end: {view}");
     }
 }
 
--- a/crates/daemon/tests/metrics_page.rs
+++ b/crates/daemon/tests/metrics_page.rs
@@ -1,12 +1,11 @@
-//! `docs/metrics.md` lists what the daemon exports, and nothing else.
+//! `docs/metrics.md` lists exactly the metrics that the daemon exports.
 
 use std::fs;
 
 use stoatwelld::metrics::COUNTERS;
 use stoatwelld::metrics::GAUGES;
 
-/// Somebody builds an alert from the page; a name that does not exist would
-/// never fire.
+/// An alert on a metric that is documented but not exported would never fire.
 #[test]
 fn page_lists_every_metric() {
     let path = format!("{}/../../docs/metrics.md", env!("CARGO_MANIFEST_DIR"));
@@ -14,8 +13,8 @@
     let listed: Vec<&str> = page.lines().filter(|line| line.starts_with("| `")).collect();
     let mut expected = Vec::new();
     for (kind, metrics) in [("gauge", GAUGES), ("counter", COUNTERS)] {
-        for (name, meaning) in metrics {
-            expected.push(format!("| `{name}` | {kind} | {meaning} |"));
+        for (name, help) in metrics {
+            expected.push(format!("| `{name}` | {kind} | {help} |"));
         }
     }
     assert_eq!(listed, expected);
--- a/crates/daemon/tests/refusals.rs
+++ b/crates/daemon/tests/refusals.rs
@@ -1,4 +1,5 @@
-//! Bad input and strangers: each gets its number, and nothing is lost.
+//! Invalid, stale and unauthorised requests are rejected with their error codes and
+//! have no effect.
 
 mod cell;
 
@@ -10,7 +11,7 @@
 
 use crate::cell::Cell;
 
-async fn refuse(cell: &Cell, key: Option<&str>, body: &str) -> (u16, u64) {
+async fn submit_invalid(cell: &Cell, key: Option<&str>, body: &str) -> (u16, u64) {
     let mut request = cell.http.post(cell.url(0, "/v1/jobs")).body(body.to_owned());
     if let Some(key) = key {
         request = request.header("idempotency-key", key);
@@ -20,16 +21,17 @@
     let value: Value = response.json().await.expect("JSON");
     assert!(
         !value["hint"].as_str().unwrap_or_default().is_empty(),
-        "every refusal has a hint: {value}"
+        "every error response has a hint: {value}"
     );
     (status, value["code"].as_u64().unwrap_or(0))
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_submissions_get_their_numbers() {
+async fn invalid_submissions_get_their_error_codes() {
     let cell =
-        Cell::start_with(&["zone-a"], |settings| settings.http.body_bytes_max = 100_000).await;
-    cell.load("nyaysetu", "nyaysetu").await;
+        Cell::start_with_settings(&["zone-a"], |settings| settings.http.body_bytes_max = 100_000)
+            .await;
+    cell.apply_example("nyaysetu", "nyaysetu").await;
     let large = json!({ "entry": "booking-confirmation", "body": "x".repeat(80_000) }).to_string();
     let huge = json!({ "entry": "booking-confirmation", "body": "x".repeat(200_000) }).to_string();
     let wide = r#"{"entry":"cause-list-bundle","demand":{"cpu_millis":900000}}"#;
@@ -48,11 +50,11 @@
         (Some("k9"), wide, 422, 4001),
     ];
     for (key, body, status, code) in cases {
-        let shown: String = body.chars().take(60).collect();
-        assert_eq!(refuse(&cell, key, body).await, (status, code), "{key:?} {shown}");
+        let excerpt: String = body.chars().take(60).collect();
+        assert_eq!(submit_invalid(&cell, key, body).await, (status, code), "{key:?} {excerpt}");
     }
     let starts: u64 = cell.standin.record().starts.values().sum();
-    assert_eq!(starts, 0, "nothing of it ran");
+    assert_eq!(starts, 0, "no rejected submission started a task");
     for (path, code) in
         [("/v1/jobs/xyz", 1006), ("/v1/jobs?colour=1", 1006), ("/v1/entries/work/none", 2003)]
     {
@@ -71,12 +73,12 @@
     assert_eq!(value["code"], 2005);
 }
 
-/// Two operators read the same entry and both change it. The second must not
-/// silently undo what the first one did.
+/// Guards against lost updates: two operators read the same entry and both write it
+/// through different daemons. The second write must be rejected, not undo the first.
 #[tokio::test(flavor = "multi_thread")]
 async fn stale_revision_is_refused() {
     let cell = Cell::start(&["zone-a", "zone-b"]).await;
-    cell.load("bluebonnet", "bluebonnet").await;
+    cell.apply_example("bluebonnet", "bluebonnet").await;
     let path = "/v1/entries/work/menu-costing";
     let response = cell.call(0, Method::GET, path, None).await;
     let tag = response.headers()["etag"].to_str().expect("text").to_owned();
@@ -96,13 +98,13 @@
     assert_eq!(now["item"]["work"]["urgency"], "normal");
 }
 
-/// Owners of both halves share the cell. Neither may see, cancel or submit the
-/// other's work, and nobody without a token may do anything.
+/// Two owners share the cell. Neither may read, cancel or submit the other's work,
+/// and no request is served without a valid token.
 #[tokio::test(flavor = "multi_thread")]
 async fn owners_act_on_their_own_work_only() {
     let hash = |token: &str| format!("{:x}", HexDigest(Sha256::digest(token.as_bytes()).to_vec()));
     let operator = hash("operator-token");
-    let cell = Cell::start_with(&["zone-a"], |settings| {
+    let cell = Cell::start_with_settings(&["zone-a"], |settings| {
         settings.security.open_access = false;
         settings.security.operator_token_sha256 = vec![operator.clone()];
     })
