--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -8,7 +8,7 @@
 use clap::value_parser;
 use clap_complete::Shell;
 
-/// Where a daemon is looked for unless told otherwise.
+/// The daemon's address if neither `--address` nor `STOATWELL_ADDRESS` is given.
 pub(crate) const DEFAULT_ADDRESS: &str = "127.0.0.1:7070";
 
 pub(crate) fn command() -> Command {
@@ -49,7 +49,7 @@
         .subcommand(completions())
 }
 
-/// Prints the completions of a shell.
+/// Prints the completion script for a shell.
 pub(crate) fn print_completions(matches: &ArgMatches) {
     if let Some(shell) = matches.get_one::<Shell>("shell") {
         clap_complete::generate(*shell, &mut command(), "stoatwell", &mut io::stdout());
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to a daemon.
+//! The HTTP client for a daemon.
 
 use std::env;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Talks to the first daemon that answers.
+/// Sends calls to the first daemon of the list that accepts a connection.
 #[derive(Debug)]
 pub(crate) struct Client {
     http: reqwest::Client,
@@ -23,7 +23,7 @@
     token: Option<String>,
 }
 
-/// One call.
+/// One HTTP request; `wait_ms` is added to its timeout.
 #[derive(Debug)]
 pub(crate) struct Call<'a> {
     pub(crate) method: Method,
@@ -45,12 +45,12 @@
 
 impl Client {
     pub(crate) fn new(matches: &ArgMatches) -> Result<Self, CliError> {
-        let given = |name: &str, variable: &str| {
+        let argument_or_env = |name: &str, variable: &str| {
             let argument = matches.get_one::<String>(name).cloned();
             argument.or_else(|| env::var(variable).ok())
         };
-        let addresses =
-            given("address", "STOATWELL_ADDRESS").unwrap_or_else(|| DEFAULT_ADDRESS.to_owned());
+        let addresses = argument_or_env("address", "STOATWELL_ADDRESS")
+            .unwrap_or_else(|| DEFAULT_ADDRESS.to_owned());
         let http = reqwest::Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
             .no_proxy()
@@ -59,7 +59,7 @@
         Ok(Self {
             http,
             addresses: addresses.split(',').map(|address| address.trim().to_owned()).collect(),
-            token: given("token", "STOATWELL_TOKEN"),
+            token: argument_or_env("token", "STOATWELL_TOKEN"),
         })
     }
 
@@ -67,25 +67,24 @@
         &self.addresses
     }
 
-    /// Calls the first daemon that can be connected to. One that took the call
-    /// and did not answer is not replaced by another: the call may have taken
-    /// effect.
+    /// Sends the call to the first daemon that accepts a connection. If that daemon
+    /// does not answer, no other is tried, as the call may have taken effect.
     pub(crate) async fn call(&self, call: &Call<'_>) -> Result<Value, CliError> {
-        let mut last = String::new();
+        let mut last_error = String::new();
         for address in &self.addresses {
             match self.request(address, call).send().await {
-                Ok(response) => return read(response).await,
-                Err(error) if error.is_connect() => last = format!("{address}: {error}"),
+                Ok(response) => return parse_response(response).await,
+                Err(error) if error.is_connect() => last_error = format!("{address}: {error}"),
                 Err(error) => return Err(CliError::Unreachable(format!("{address}: {error}"))),
             }
         }
-        Err(CliError::Unreachable(last))
+        Err(CliError::Unreachable(last_error))
     }
 
-    /// Calls one daemon.
+    /// Sends the call to the daemon at `address` only.
     pub(crate) async fn call_at(&self, address: &str, call: &Call<'_>) -> Result<Value, CliError> {
         match self.request(address, call).send().await {
-            Ok(response) => read(response).await,
+            Ok(response) => parse_response(response).await,
             Err(error) => Err(CliError::Unreachable(format!("{address}: {error}"))),
         }
     }
@@ -107,8 +106,9 @@
     }
 }
 
-/// A job's view is an answer whatever its status; other errors are refusals.
-async fn read(response: reqwest::Response) -> Result<Value, CliError> {
+/// The body of a response. A job's view is a result whatever the status; other
+/// bodies without a success status are errors.
+async fn parse_response(response: reqwest::Response) -> Result<Value, CliError> {
     let status = response.status();
     let text = response.text().await.map_err(|error| CliError::Unreachable(error.to_string()))?;
     let value: Value = serde_json::from_str(&text).unwrap_or(Value::String(text));
--- a/crates/cli/src/dump.rs
+++ b/crates/cli/src/dump.rs
@@ -1,4 +1,4 @@
-//! Showing the state of daemons.
+//! The `dump` command: show the state of daemons.
 
 use std::process::ExitCode;
 
@@ -10,7 +10,7 @@
 use crate::client::Client;
 use crate::exit::CliError;
 use crate::output::Output;
-use crate::output::text;
+use crate::output::field_text;
 
 pub(crate) async fn run(
     client: &Client,
@@ -20,19 +20,19 @@
     let call = Call::get("/v1/state");
     if !matches.get_flag("all") {
         let dump = client.call(&call).await?;
-        output.lines(&dump, lines);
+        output.print_lines(&dump, lines);
         return Ok(ExitCode::SUCCESS);
     }
     let mut dumps = Vec::new();
-    let mut missing = Vec::new();
+    let mut unreached = Vec::new();
     for address in client.addresses() {
         match client.call_at(address, &call).await {
             Ok(dump) => dumps.push(dump),
-            Err(error) => missing.push(format!("{address}: {error}")),
+            Err(error) => unreached.push(format!("{address}: {error}")),
         }
     }
-    let all = json!({ "daemons": dumps, "missing": missing });
-    output.lines(&all, |all| {
+    let all = json!({ "daemons": dumps, "missing": unreached });
+    output.print_lines(&all, |all| {
         let mut shown = Vec::new();
         for dump in all["daemons"].as_array().into_iter().flatten() {
             shown.extend(lines(dump));
@@ -49,12 +49,12 @@
 fn lines(dump: &Value) -> Vec<String> {
     let mut lines = vec![format!(
         "daemon {} in zone {}: ready {}, stopping {}, catalogue revision {} seen newest {} ms ago",
-        text(dump, "daemon.daemon"),
-        text(dump, "daemon.zone"),
-        text(dump, "ready"),
-        text(dump, "stopping"),
-        text(dump, "catalogue.revision"),
-        text(dump, "catalogue.age_ms"),
+        field_text(dump, "daemon.daemon"),
+        field_text(dump, "daemon.zone"),
+        field_text(dump, "ready"),
+        field_text(dump, "stopping"),
+        field_text(dump, "catalogue.revision"),
+        field_text(dump, "catalogue.age_ms"),
     )];
     let workers = items(dump, "workers");
     let held = workers.iter().filter(|worker| !worker["lease_left_ms"].is_null());
@@ -64,19 +64,22 @@
             items(&queue, "reasons").iter().map(ToString::to_string).collect();
         lines.push(format!(
             "  queue {}: {} jobs, the first waits {} ms: {}",
-            text(&queue, "entry"),
-            text(&queue, "jobs"),
-            text(&queue, "front_waited_ms"),
+            field_text(&queue, "entry"),
+            field_text(&queue, "jobs"),
+            field_text(&queue, "front_waited_ms"),
             reasons.join(", "),
         ));
     }
     lines.push(format!("  jobs: {}", dump["jobs"]["by_state"]));
     for group in items(dump, "minions") {
-        let (free, slots) = (text(&group, "free_slots"), text(&group, "slots"));
-        lines.push(format!("  minions {}: {free} of {slots} slots free", text(&group, "group")));
+        let (free, slots) = (field_text(&group, "free_slots"), field_text(&group, "slots"));
+        lines.push(format!(
+            "  minions {}: {free} of {slots} slots free",
+            field_text(&group, "group")
+        ));
     }
     for peer in items(dump, "peers") {
-        let heard = text(&peer, "heard_ms_ago");
+        let heard = field_text(&peer, "heard_ms_ago");
         let heard = if heard.is_empty() {
             "never heard".to_owned()
         } else {
@@ -84,16 +87,16 @@
         };
         lines.push(format!(
             "  peer {} in zone {}: {heard}",
-            text(&peer, "daemon"),
-            text(&peer, "zone")
+            field_text(&peer, "daemon"),
+            field_text(&peer, "zone")
         ));
     }
     lines.push(format!(
         "  store: refusing {}, backlog {}, transactions {}, conflicts {}",
-        text(dump, "store.refusing"),
-        text(dump, "store.backlog"),
-        text(dump, "store.commits.transactions"),
-        text(dump, "store.commits.conflicts"),
+        field_text(dump, "store.refusing"),
+        field_text(dump, "store.backlog"),
+        field_text(dump, "store.commits.transactions"),
+        field_text(dump, "store.commits.conflicts"),
     ));
     lines
 }
--- a/crates/cli/src/entry.rs
+++ b/crates/cli/src/entry.rs
@@ -1,4 +1,4 @@
-//! Reading and changing the catalogue.
+//! The `entry` command: read and change the catalogue.
 
 use std::fs;
 use std::io;
@@ -13,7 +13,7 @@
 use crate::client::Client;
 use crate::exit::CliError;
 use crate::output::Output;
-use crate::output::text;
+use crate::output::field_text;
 
 pub(crate) async fn run(
     client: &Client,
@@ -32,7 +32,7 @@
 
 async fn list(client: &Client, output: Output) -> Result<(), CliError> {
     let listed = client.call(&Call::get("/v1/entries")).await?;
-    output.show(
+    output.print_table(
         &listed,
         &["KIND", "NAME", "OWNER", "CLASS", "EXECUTION", "URGENCY", "REVISION"],
         |listed| {
@@ -45,9 +45,9 @@
 
 fn row(entry: &Value) -> Vec<String> {
     let item = &entry["item"];
-    let revision = text(entry, "revision");
+    let revision = field_text(entry, "revision");
     if item.get("owner").is_some_and(Value::is_object) {
-        let owner = text(item, "owner.owner");
+        let owner = field_text(item, "owner.owner");
         return vec![
             "owner".to_owned(),
             owner.clone(),
@@ -60,11 +60,11 @@
     }
     vec![
         "work".to_owned(),
-        text(item, "work.name"),
-        text(item, "work.owner"),
-        text(item, "work.class"),
-        text(item, "work.execution"),
-        text(item, "work.urgency"),
+        field_text(item, "work.name"),
+        field_text(item, "work.owner"),
+        field_text(item, "work.class"),
+        field_text(item, "work.execution"),
+        field_text(item, "work.urgency"),
         revision,
     ]
 }
@@ -77,7 +77,7 @@
 
 async fn apply(client: &Client, output: Output, matches: &ArgMatches) -> Result<(), CliError> {
     let file = matches.get_one::<String>("file").map_or("-", String::as_str);
-    let document = read(file)?;
+    let document = read_input(file)?;
     let document: Value = serde_json::from_str(&document)
         .map_err(|error| CliError::Local(format!("{file}: {error}")))?;
     let entries = match document.get("entries").and_then(Value::as_array) {
@@ -85,18 +85,18 @@
         None => vec![document],
     };
     for entry in entries {
-        let is_owner = text(&entry, "kind") == "owner";
+        let is_owner = field_text(&entry, "kind") == "owner";
         let (kind, name) = if is_owner {
-            ("owner", text(&entry, "owner"))
+            ("owner", field_text(&entry, "owner"))
         } else {
-            ("work", text(&entry, "name"))
+            ("work", field_text(&entry, "name"))
         };
         let mut call = Call::new(Method::PUT, format!("/v1/entries/{kind}/{name}"));
         call.body = Some(entry.to_string());
-        call.headers = condition(matches);
+        call.headers = precondition_headers(matches);
         let change = client.call(&call).await?;
-        output.lines(&change, |change| {
-            vec![format!("{kind} {name} accepted at revision {}", text(change, "revision"))]
+        output.print_lines(&change, |change| {
+            vec![format!("{kind} {name} accepted at revision {}", field_text(change, "revision"))]
         });
     }
     Ok(())
@@ -104,24 +104,25 @@
 
 async fn delete(client: &Client, output: Output, matches: &ArgMatches) -> Result<(), CliError> {
     let mut call = Call::new(Method::DELETE, path(matches));
-    call.headers = condition(matches);
+    call.headers = precondition_headers(matches);
     let change = client.call(&call).await?;
-    output
-        .lines(&change, |change| vec![format!("removed at revision {}", text(change, "revision"))]);
+    output.print_lines(&change, |change| {
+        vec![format!("removed at revision {}", field_text(change, "revision"))]
+    });
     Ok(())
 }
 
 async fn history(client: &Client, output: Output, matches: &ArgMatches) -> Result<(), CliError> {
     let changes = client.call(&Call::get(format!("{}/history", path(matches)))).await?;
-    output.show(&changes, &["REVISION", "BY", "AT_MS", "CHANGE"], |changes| {
+    output.print_table(&changes, &["REVISION", "BY", "AT_MS", "CHANGE"], |changes| {
         let mut rows = Vec::new();
         for change in changes.as_array().into_iter().flatten() {
-            let what = if change["item"].is_null() { "removed" } else { "written" };
+            let action = if change["item"].is_null() { "removed" } else { "written" };
             rows.push(vec![
-                text(change, "revision"),
-                text(change, "by"),
-                text(change, "at_ms"),
-                what.to_owned(),
+                field_text(change, "revision"),
+                field_text(change, "by"),
+                field_text(change, "at_ms"),
+                action.to_owned(),
             ]);
         }
         rows
@@ -129,8 +130,9 @@
     Ok(())
 }
 
-/// The headers that make a change conditional.
-pub(crate) fn condition(matches: &ArgMatches) -> Vec<(&'static str, String)> {
+/// The headers that make a change conditional on the entry's revision, from
+/// `--if-revision`; none without it.
+pub(crate) fn precondition_headers(matches: &ArgMatches) -> Vec<(&'static str, String)> {
     match matches.get_one::<u64>("if-revision") {
         None => Vec::new(),
         Some(0) => vec![("if-none-match", "*".to_owned())],
@@ -145,7 +147,7 @@
 }
 
 /// Reads a file, or standard input for `-`.
-pub(crate) fn read(file: &str) -> Result<String, CliError> {
+pub(crate) fn read_input(file: &str) -> Result<String, CliError> {
     if file != "-" {
         return fs::read_to_string(file)
             .map_err(|error| CliError::Local(format!("{file}: {error}")));
--- a/crates/cli/src/job.rs
+++ b/crates/cli/src/job.rs
@@ -1,4 +1,4 @@
-//! Submitting work and following it.
+//! The `job` and `explain` commands: submit jobs, follow them and show their state.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -13,16 +13,16 @@
 
 use crate::client::Call;
 use crate::client::Client;
-use crate::entry::read;
+use crate::entry::read_input;
 use crate::exit;
 use crate::exit::CliError;
 use crate::output;
 use crate::output::Output;
-use crate::output::text;
+use crate::output::field_text;
 
-/// One long poll; a longer wait is made of several.
+/// Duration of one long poll; longer waits take several.
 const POLL_MS: u64 = 10_000;
-const REDRAW: Duration = Duration::from_millis(120);
+const SPINNER_INTERVAL: Duration = Duration::from_millis(120);
 
 pub(crate) async fn run(
     client: &Client,
@@ -32,18 +32,19 @@
     match matches.subcommand() {
         Some(("submit", sub)) => submit(client, output, sub).await,
         Some(("wait", sub)) => {
-            let job = id(sub);
-            let view = wait(client, &job, limit_ms(sub)).await?;
+            let job = job_id(sub);
+            let view = wait(client, &job, timeout_ms(sub)).await?;
             finish(output, &view, true)
         }
         Some(("cancel", sub)) => {
-            let view =
-                client.call(&Call::new(Method::DELETE, format!("/v1/jobs/{}", id(sub)))).await?;
+            let view = client
+                .call(&Call::new(Method::DELETE, format!("/v1/jobs/{}", job_id(sub))))
+                .await?;
             show(output, &view);
             Ok(ExitCode::SUCCESS)
         }
         Some(("status", sub)) => {
-            let view = client.call(&Call::get(format!("/v1/jobs/{}", id(sub)))).await?;
+            let view = client.call(&Call::get(format!("/v1/jobs/{}", job_id(sub)))).await?;
             finish(output, &view, false)
         }
         Some(("list", sub)) => list(client, output, sub).await,
@@ -51,25 +52,25 @@
     }
 }
 
-/// Tells why a job waits or why it ran where it ran.
+/// Prints why a job is waiting, or why it ran on its workers.
 pub(crate) async fn explain(
     client: &Client,
     output: Output,
     matches: &ArgMatches,
 ) -> Result<ExitCode, CliError> {
-    let view = client.call(&Call::get(format!("/v1/jobs/{}", id(matches)))).await?;
-    output.lines(&view, |view| {
+    let view = client.call(&Call::get(format!("/v1/jobs/{}", job_id(matches)))).await?;
+    output.print_lines(&view, |view| {
         let mut lines = vec![format!(
             "job {} of entry {} is {} at daemon {} in zone {}",
-            text(view, "job"),
-            text(view, "entry"),
-            text(view, "state"),
-            text(view, "coordinator"),
-            text(view, "zone"),
+            field_text(view, "job"),
+            field_text(view, "entry"),
+            field_text(view, "state"),
+            field_text(view, "coordinator"),
+            field_text(view, "zone"),
         )];
-        let waited = text(view, "waited_ms");
-        if !waited.is_empty() {
-            lines.push(format!("it waited {waited} ms before its first start"));
+        let waited_ms = field_text(view, "waited_ms");
+        if !waited_ms.is_empty() {
+            lines.push(format!("it waited {waited_ms} ms before its first start"));
         }
         for reason in view["reasons"].as_array().into_iter().flatten() {
             lines.push(format!("- {}", reason.as_str().unwrap_or_default()));
@@ -90,22 +91,22 @@
 ) -> Result<ExitCode, CliError> {
     let key = matches.get_one::<String>("key").cloned();
     let key = key.unwrap_or_else(|| format!("cli-{:032x}", rand::random::<u128>()));
-    let waits = matches.get_flag("wait");
+    let should_wait = matches.get_flag("wait");
     let mut call = Call::new(Method::POST, "/v1/jobs");
     call.headers = vec![("idempotency-key", key)];
     call.body = Some(submission(matches)?.to_string());
     let view = client.call(&call).await?;
-    if !waits || is_final(&view) {
+    if !should_wait || is_final(&view) {
         return finish(output, &view, false);
     }
-    let view = wait(client, &text(&view, "job"), limit_ms(matches)).await?;
+    let view = wait(client, &field_text(&view, "job"), timeout_ms(matches)).await?;
     finish(output, &view, true)
 }
 
 fn submission(matches: &ArgMatches) -> Result<Value, CliError> {
     let number = |name: &str| matches.get_one::<u64>(name).copied();
     let body = match matches.get_one::<String>("body-file") {
-        Some(file) => read(file)?,
+        Some(file) => read_input(file)?,
         None => matches.get_one::<String>("body").cloned().unwrap_or_default(),
     };
     let mut submission = json!({ "entry": matches.get_one::<String>("entry"), "body": body });
@@ -125,29 +126,32 @@
     Ok(submission)
 }
 
-/// Long polls until the job is final or the time is over, showing progress to
-/// somebody at a terminal and nothing to a pipe.
-async fn wait(client: &Client, job: &str, limit_ms: u64) -> Result<Value, CliError> {
+/// Polls until the job has ended or the timeout has passed, and returns its last
+/// view. Shows a spinner on a terminal and nothing in a pipe.
+async fn wait(client: &Client, job: &str, timeout_ms: u64) -> Result<Value, CliError> {
     let progress = output::is_interactive().then(ProgressBar::new_spinner);
     if let Some(progress) = &progress {
-        progress.enable_steady_tick(REDRAW);
+        progress.enable_steady_tick(SPINNER_INTERVAL);
     }
     let started = Instant::now();
     loop {
-        let passed_ms = started.elapsed().as_millis() as u64;
-        let wait_ms = limit_ms.saturating_sub(passed_ms).min(POLL_MS);
+        let elapsed_ms = started.elapsed().as_millis() as u64;
+        let wait_ms = timeout_ms.saturating_sub(elapsed_ms).min(POLL_MS);
         let mut call = Call::get(format!("/v1/jobs/{job}?wait_ms={wait_ms}"));
         call.wait_ms = wait_ms;
         let view = client.call(&call).await?;
-        if is_final(&view) || passed_ms + wait_ms >= limit_ms {
+        if is_final(&view) || elapsed_ms + wait_ms >= timeout_ms {
             if let Some(progress) = &progress {
                 progress.finish_and_clear();
             }
             return Ok(view);
         }
         if let Some(progress) = &progress {
-            let (done, tasks) = (text(&view, "done"), text(&view, "tasks"));
-            progress.set_message(format!("{} {done} of {tasks} tasks done", text(&view, "state")));
+            let (done, tasks) = (field_text(&view, "done"), field_text(&view, "tasks"));
+            progress.set_message(format!(
+                "{} {done} of {tasks} tasks done",
+                field_text(&view, "state")
+            ));
         }
     }
 }
@@ -160,7 +164,7 @@
         path.push_str(entry);
     }
     let listed = client.call(&Call::get(path)).await?;
-    output.show(&listed, HEADER, |listed| {
+    output.print_table(&listed, HEADER, |listed| {
         listed["jobs"].as_array().into_iter().flatten().map(row).collect()
     });
     Ok(ExitCode::SUCCESS)
@@ -174,54 +178,55 @@
         view["workers"].as_array().into_iter().flatten().filter_map(Value::as_str).collect();
     let (code, detail) = outcome(view);
     vec![
-        text(view, "job"),
-        text(view, "entry"),
-        text(view, "state"),
-        format!("{}/{}", text(view, "done"), text(view, "tasks")),
+        field_text(view, "job"),
+        field_text(view, "entry"),
+        field_text(view, "state"),
+        format!("{}/{}", field_text(view, "done"), field_text(view, "tasks")),
         workers.join(" "),
-        text(view, "zone"),
-        text(view, "waited_ms"),
+        field_text(view, "zone"),
+        field_text(view, "waited_ms"),
         format!("{code} {detail}").trim().to_owned(),
     ]
 }
 
 fn show(output: Output, view: &Value) {
-    output.show(view, HEADER, |view| vec![row(view)]);
+    output.print_table(view, HEADER, |view| vec![row(view)]);
 }
 
-fn finish(output: Output, view: &Value, waited: bool) -> Result<ExitCode, CliError> {
+fn finish(output: Output, view: &Value, has_waited: bool) -> Result<ExitCode, CliError> {
     show(output, view);
     let view: JobView =
         serde_json::from_value(view.clone()).map_err(|error| CliError::Local(error.to_string()))?;
-    Ok(exit::of_job(view.state, waited))
+    Ok(exit::for_job(view.state, has_waited))
 }
 
-/// The number and the words of an outcome; for work that is done, its answer's start.
+/// The code and the detail of an outcome, the latter shortened; for a job that
+/// succeeded, the start of its answer.
 fn outcome(view: &Value) -> (String, String) {
-    const SHOWN_CHARS: usize = 40;
+    const DETAIL_CHARS_MAX: usize = 40;
     let Some(outcome) = view.get("outcome").and_then(Value::as_object) else {
         return (String::new(), String::new());
     };
     let Some((_, outcome)) = outcome.iter().next() else {
         return (String::new(), String::new());
     };
-    let answer = text(outcome, "answer");
-    let detail = if answer.is_empty() { text(outcome, "detail") } else { answer };
-    let mut shown: String = detail.chars().take(SHOWN_CHARS).collect();
+    let answer = field_text(outcome, "answer");
+    let detail = if answer.is_empty() { field_text(outcome, "detail") } else { answer };
+    let mut shown: String = detail.chars().take(DETAIL_CHARS_MAX).collect();
     if shown.len() < detail.len() {
         shown.push('…');
     }
-    (text(outcome, "code"), shown)
+    (field_text(outcome, "code"), shown)
 }
 
 fn is_final(view: &Value) -> bool {
-    !matches!(text(view, "state").as_str(), "queued" | "running")
+    !matches!(field_text(view, "state").as_str(), "queued" | "running")
 }
 
-fn id(matches: &ArgMatches) -> String {
+fn job_id(matches: &ArgMatches) -> String {
     matches.get_one::<String>("job").cloned().unwrap_or_default()
 }
 
-fn limit_ms(matches: &ArgMatches) -> u64 {
+fn timeout_ms(matches: &ArgMatches) -> u64 {
     matches.get_one::<u64>("timeout-ms").copied().unwrap_or(60_000)
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,8 +1,8 @@
 //! The command-line tool for operators and owners.
 //!
-//! [`args`] defines the commands, [`client`] talks to a daemon, the modules
-//! named after things carry the commands out, and [`output`] writes tables for
-//! people or JSON for programs. [`exit`] lists the exit statuses.
+//! [`args`] defines the commands, [`client`] calls a daemon, the modules named after
+//! commands execute them, and [`output`] prints tables or JSON. [`exit`] lists the
+//! exit statuses.
 
 mod args;
 mod client;
@@ -28,7 +28,7 @@
     match run(&matches).await {
         Ok(code) => code,
         Err(error) => {
-            output::error(&error);
+            output::print_error(&error);
             error.exit_code()
         }
     }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Tables for people, JSON for programs, errors for both.
+//! Prints results as tables or JSON to standard output, and errors to standard error.
 
 use std::env;
 use std::io;
@@ -11,7 +11,7 @@
 
 use crate::exit::CliError;
 
-/// How results are written.
+/// The output format of results.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Output {
     json: bool,
@@ -22,8 +22,8 @@
         Self { json: matches.get_one::<String>("output").is_some_and(|format| format == "json") }
     }
 
-    /// Writes a value as it came, or as the table that `rows` makes of it.
-    pub(crate) fn show(
+    /// Prints a value as JSON, or as a table of the rows that `rows` extracts from it.
+    pub(crate) fn print_table(
         self,
         value: &Value,
         header: &[&str],
@@ -42,8 +42,8 @@
         println!("{table}");
     }
 
-    /// Writes a value as it came, or as lines.
-    pub(crate) fn lines(self, value: &Value, lines: impl FnOnce(&Value) -> Vec<String>) {
+    /// Prints a value as JSON, or as the lines that `lines` extracts from it.
+    pub(crate) fn print_lines(self, value: &Value, lines: impl FnOnce(&Value) -> Vec<String>) {
         if self.json {
             println!("{value:#}");
             return;
@@ -54,13 +54,14 @@
     }
 }
 
-/// Whether somebody looks at a terminal that may be drawn on.
+/// Whether to show progress: standard error is a terminal and `NO_COLOR` is not set.
 pub(crate) fn is_interactive() -> bool {
     io::stderr().is_terminal() && env::var_os("NO_COLOR").is_none()
 }
 
-/// Writes why a command failed.
-pub(crate) fn error(error: &CliError) {
+/// Prints why a command failed and, if a daemon rejected it, the problems, the hint
+/// and the time to retry after.
+pub(crate) fn print_error(error: &CliError) {
     eprintln!("error {error}");
     let CliError::Refused(failure) = error else {
         return;
@@ -74,8 +75,8 @@
     }
 }
 
-/// A field as text; empty where there is none.
-pub(crate) fn text(value: &Value, path: &str) -> String {
+/// The field at a path such as `item.work.name` as text; empty if it is missing or null.
+pub(crate) fn field_text(value: &Value, path: &str) -> String {
     let mut found = value;
     for name in path.split('.') {
         match found.get(name) {
--- a/crates/cli/src/target.rs
+++ b/crates/cli/src/target.rs
@@ -1,4 +1,4 @@
-//! Starting, draining and retiring targets.
+//! The `target` command: list, start, drain and retire targets.
 
 use std::process::ExitCode;
 
@@ -8,10 +8,10 @@
 
 use crate::client::Call;
 use crate::client::Client;
-use crate::entry::condition;
+use crate::entry::precondition_headers;
 use crate::exit::CliError;
 use crate::output::Output;
-use crate::output::text;
+use crate::output::field_text;
 
 pub(crate) async fn run(
     client: &Client,
@@ -27,7 +27,7 @@
 
 async fn list(client: &Client, output: Output) -> Result<(), CliError> {
     let listed = client.call(&Call::get("/v1/targets")).await?;
-    output.show(
+    output.print_table(
         &listed,
         &["WORKER", "OWNER", "STATE", "NEXT OWNER", "EPOCH", "REVISION"],
         |listed| {
@@ -35,12 +35,12 @@
             for target in listed["targets"].as_array().into_iter().flatten() {
                 let item = &target["item"];
                 rows.push(vec![
-                    text(item, "target.worker"),
-                    text(item, "target.owner"),
-                    text(item, "target.state"),
-                    text(item, "target.next_owner"),
-                    text(item, "target.epoch"),
-                    text(target, "revision"),
+                    field_text(item, "target.worker"),
+                    field_text(item, "target.owner"),
+                    field_text(item, "target.state"),
+                    field_text(item, "target.next_owner"),
+                    field_text(item, "target.epoch"),
+                    field_text(target, "revision"),
                 ]);
             }
             rows
@@ -58,12 +58,12 @@
     let owner = matches.try_get_one::<String>("owner").ok().flatten();
     for worker in matches.get_many::<String>("worker").into_iter().flatten() {
         let mut call = Call::new(Method::POST, format!("/v1/targets/{worker}/{step}"));
-        call.headers = condition(matches);
+        call.headers = precondition_headers(matches);
         call.body = owner.map(|owner| json!({ "owner": owner }).to_string());
         let change = client.call(&call).await?;
-        output.lines(&change, |change| {
-            let state = text(change, "item.target.state");
-            vec![format!("{worker} is {state} from revision {} on", text(change, "revision"))]
+        output.print_lines(&change, |change| {
+            let state = field_text(change, "item.target.state");
+            vec![format!("{worker} is {state} from revision {} on", field_text(change, "revision"))]
         });
     }
     Ok(())
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -1,9 +1,9 @@
-//! One request's story from the collected logs of many daemons.
+//! The `trace` command: the log lines of one request, from the logs of many daemons.
 //!
-//! Lines that name the request are put in order of time, with what changed for all
-//! requests meanwhile: who schedules, and which dependencies were lost. Each line's
-//! time is its daemon's own clock, so lines of different daemons that are close may
-//! stand in the wrong order.
+//! Lines that name the request are sorted by time, together with events in between
+//! that concern all requests: changes of the leader and lost dependencies. Each line
+//! has the time of its daemon's own clock, so lines of different daemons that are
+//! close in time may be in the wrong order.
 
 use std::fs::File;
 use std::io::BufRead;
@@ -18,10 +18,11 @@
 
 use crate::exit::CliError;
 use crate::output::Output;
-use crate::output::text;
+use crate::output::field_text;
 
-/// What concerns every request.
-const FOR_ALL: [&str; 9] = [
+/// Log messages that are shown for every request. They must match the messages that
+/// the daemons log.
+const CELL_WIDE_MESSAGES: [&str; 9] = [
     "daemon started",
     "daemon stops",
     "duty taken over",
@@ -32,18 +33,18 @@
     "lost: new jobs are refused until it answers",
     "regained",
 ];
-/// Fields that every line has; they stand in columns of their own.
-const COMMON: [&str; 3] = ["timestamp", "level", "message"];
+/// Fields of every line that have columns of their own.
+const COLUMN_FIELDS: [&str; 3] = ["timestamp", "level", "message"];
 
-/// A line of a log.
-struct Line {
+/// A parsed log line.
+struct LogLine {
     time: String,
     daemon: String,
     fields: Map<String, Value>,
-    names_it: bool,
+    mentions_id: bool,
 }
 
-/// Prints the story of a request.
+/// Prints the log lines of a request; fails if no file names its id.
 pub(crate) fn run(output: Output, matches: &ArgMatches) -> Result<ExitCode, CliError> {
     let id = matches.get_one::<String>("id").map(String::as_str).unwrap_or_default();
     let mut lines = Vec::new();
@@ -51,18 +52,18 @@
         read(Path::new(path), id, &mut lines)?;
     }
     lines.sort_by(|a, b| a.time.cmp(&b.time));
-    let first = lines.iter().position(|line| line.names_it);
-    let last = lines.iter().rposition(|line| line.names_it);
+    let first = lines.iter().position(|line| line.mentions_id);
+    let last = lines.iter().rposition(|line| line.mentions_id);
     let (Some(first), Some(last)) = (first, last) else {
         return Err(CliError::Local(format!("no line of these files names {id}")));
     };
-    let story =
+    let trace =
         json!({ "id": id, "lines": lines[first..=last].iter().map(shown).collect::<Vec<_>>() });
-    output.show(&story, &["TIME", "DAEMON", "WHAT", "WITH"], |story| {
+    output.print_table(&trace, &["TIME", "DAEMON", "WHAT", "WITH"], |trace| {
         let mut rows = Vec::new();
-        for line in story["lines"].as_array().into_iter().flatten() {
+        for line in trace["lines"].as_array().into_iter().flatten() {
             rows.push(
-                ["time", "daemon", "message", "fields"].map(|name| text(line, name)).to_vec(),
+                ["time", "daemon", "message", "fields"].map(|name| field_text(line, name)).to_vec(),
             );
         }
         rows
@@ -70,36 +71,36 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn read(path: &Path, id: &str, lines: &mut Vec<Line>) -> Result<(), CliError> {
+fn read(path: &Path, id: &str, lines: &mut Vec<LogLine>) -> Result<(), CliError> {
     let unreadable = |error| CliError::Local(format!("{}: {error}", path.display()));
     let daemon = path.file_stem().map(|name| name.to_string_lossy().into_owned());
     let daemon = daemon.unwrap_or_default();
     for line in BufReader::new(File::open(path).map_err(unreadable)?).lines() {
-        // Logs of other programs may stand between ours.
+        // The files may contain lines of other programs, which are not JSON objects.
         let Ok(Value::Object(fields)) = serde_json::from_str(&line.map_err(unreadable)?) else {
             continue;
         };
         let message = fields.get("message").and_then(Value::as_str).unwrap_or_default();
-        let named = |value: &Value| value.as_str().is_some_and(|text| is_of(text, id));
-        let names_it = fields.values().any(named);
-        if !names_it && !FOR_ALL.contains(&message) {
+        let names_request = |value: &Value| value.as_str().is_some_and(|text| belongs_to(text, id));
+        let mentions_id = fields.values().any(names_request);
+        if !mentions_id && !CELL_WIDE_MESSAGES.contains(&message) {
             continue;
         }
         let time = fields.get("timestamp").and_then(Value::as_str).unwrap_or_default().to_owned();
-        lines.push(Line { time, daemon: daemon.clone(), fields, names_it });
+        lines.push(LogLine { time, daemon: daemon.clone(), fields, mentions_id });
     }
     Ok(())
 }
 
-/// Whether a name is the request's, or that of one of its steps or tasks.
-fn is_of(name: &str, id: &str) -> bool {
+/// Whether `name` is the id of the request or of one of its steps or tasks.
+fn belongs_to(name: &str, id: &str) -> bool {
     name.strip_prefix(id).is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
 }
 
-fn shown(line: &Line) -> Value {
+fn shown(line: &LogLine) -> Value {
     let mut fields = Vec::new();
     for (name, value) in &line.fields {
-        if COMMON.contains(&name.as_str()) {
+        if COLUMN_FIELDS.contains(&name.as_str()) {
             continue;
         }
         let value = value.as_str().map_or_else(|| value.to_string(), str::to_owned);
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The program against a daemon: what it prints and its exit statuses.
+//! Output and exit statuses of the program, run against a daemon.
 
 use std::process::Command;
 use std::process::Output;
@@ -13,15 +13,15 @@
 use stoatwell_standin::config::WorkerGroup;
 use stoatwelld::Daemon;
 
-const LOOKS: u32 = 200;
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const POLL_ATTEMPTS: u32 = 200;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 async fn run(address: &str, args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_stoatwell"));
     command.env_remove("STOATWELL_ADDRESS").env_remove("STOATWELL_TOKEN");
     command.arg("--address").arg(address).args(args);
-    let ran = tokio::task::spawn_blocking(move || command.output());
-    ran.await.expect("it is waited for").expect("the program runs")
+    let output = tokio::task::spawn_blocking(move || command.output());
+    output.await.expect("the waiting thread does not panic").expect("the program runs")
 }
 
 fn status(output: &Output) -> Option<i32> {
@@ -36,10 +36,10 @@
     )
 }
 
-/// A script drives the cell by exit statuses; one that lies makes it go on
-/// after work that did not run.
+/// A script relies on the exit status; a wrong one would make it continue after work
+/// that did not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn commands_tell_by_their_exit_status() {
+async fn exit_status_reflects_the_outcome() {
     let group = WorkerGroup {
         prefix: "w".to_owned(),
         count: 1,
@@ -53,11 +53,11 @@
     };
     let standin = Standin::start(Config { workers: vec![group], ..Config::default() })
         .await
-        .expect("it starts");
+        .expect("the stand-in starts");
     let mut settings = stoatwell_settings::example("cli");
     settings.platform.store_address = standin.address;
     settings.platform.instances_interval_ms = 100;
-    let daemon = Daemon::start(settings).await.expect("it starts");
+    let daemon = Daemon::start(settings).await.expect("the daemon starts");
     let address = daemon.http_address.to_string();
     let example = format!("{}/../../examples/bluebonnet.json", env!("CARGO_MANIFEST_DIR"));
 
@@ -68,18 +68,18 @@
         Some(0)
     );
     let listed = run(&address, &["entry", "list", "--output", "json"]).await;
-    let value: Value = serde_json::from_slice(&listed.stdout).expect("JSON for programs");
+    let value: Value = serde_json::from_slice(&listed.stdout).expect("the output is JSON");
     assert_eq!(value["entries"].as_array().map(Vec::len), Some(4));
 
     let body = r#"{"run_ms":20,"answer":"costed"}"#;
     let submit = ["job", "submit", "menu-costing", "--body", body, "--wait"];
     let mut done = run(&address, &submit).await;
-    for _ in 0..LOOKS {
-        // Until the daemon holds the worker it says that it is not ready.
+    for _ in 0..POLL_ATTEMPTS {
+        // Submissions are rejected with code 7005 (not ready) until the daemon holds the worker.
         if !text(&done).contains("7005") {
             break;
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         done = run(&address, &submit).await;
     }
     assert_eq!(status(&done), Some(0), "{}", text(&done));
--- a/crates/cli/tests/trace.rs
+++ b/crates/cli/tests/trace.rs
@@ -1,4 +1,4 @@
-//! A request's story from log files.
+//! The `trace` command on log files.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -15,28 +15,28 @@
 "#;
 
 fn trace(id: &str) -> Output {
-    let folder: PathBuf = std::env::temp_dir().join(format!("trace-{}-{id}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a writable folder");
-    let (gateway, scheduler) = (folder.join("gateway.log"), folder.join("scheduler.log"));
-    std::fs::write(&gateway, GATEWAY).expect("written");
-    std::fs::write(&scheduler, SCHEDULER).expect("written");
+    let log_dir: PathBuf = std::env::temp_dir().join(format!("trace-{}-{id}", std::process::id()));
+    std::fs::create_dir_all(&log_dir).expect("the log directory can be created");
+    let (gateway, scheduler) = (log_dir.join("gateway.log"), log_dir.join("scheduler.log"));
+    std::fs::write(&gateway, GATEWAY).expect("the gateway's log can be written");
+    std::fs::write(&scheduler, SCHEDULER).expect("the scheduler's log can be written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_stoatwell"));
     command.args(["--output", "json", "trace", id]).arg(scheduler).arg(gateway);
     let output = command.output().expect("the program runs");
-    std::fs::remove_dir_all(&folder).expect("it is there");
+    std::fs::remove_dir_all(&log_dir).expect("the log directory can be removed");
     output
 }
 
-/// On call, a request's lines lie in the logs of several daemons, among those of
-/// all others. The story has its own lines in order, and what changed for all
-/// requests between them; without the change of scheduler nobody would see why it
-/// waited.
+/// The lines of one request are spread over the logs of several daemons, among those
+/// of other requests. The trace has the request's lines in order and the cell-wide
+/// events between them; without the change of leader the cause of the wait would be
+/// missing.
 #[test]
-fn a_story_has_the_requests_lines_and_what_changed_meanwhile() {
+fn trace_shows_the_requests_lines_and_cell_wide_events_between_them() {
     let output = trace("5c0e7a21d94b36f8");
     assert_eq!(output.status.code(), Some(0));
-    let story: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
-    let messages: Vec<(&str, &str)> = story["lines"]
+    let trace: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
+    let messages: Vec<(&str, &str)> = trace["lines"]
         .as_array()
         .expect("lines")
         .iter()
@@ -52,10 +52,10 @@
     );
 }
 
-/// The id is mistyped, or the files are not those of its time. An empty table
-/// would look like a request that nothing happened to.
+/// A mistyped id or logs of another time: an empty table would suggest that the
+/// request exists and nothing happened to it.
 #[test]
-fn an_unknown_id_is_an_error() {
+fn unknown_id_is_an_error() {
     let output = trace("ffffffffffffffff");
     assert_eq!(output.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&output.stderr).contains("no line of these files"));
