--- a/crates/bench/src/balancer.rs
+++ b/crates/bench/src/balancer.rs
@@ -1,5 +1,5 @@
-//! A balancer as the platform has it: it asks each instance whether it is
-//! ready and sends calls to the ready ones in turn.
+//! A load balancer as the platform has it: it probes the readiness of each instance
+//! and distributes calls over the ready ones in round-robin order.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -14,23 +14,23 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A balancer over entry instances.
+/// A load balancer over entry instances, which start out as ready.
 #[derive(Debug)]
 pub(crate) struct Balancer {
     http: Client,
     addresses: Vec<String>,
     ready: Mutex<Vec<String>>,
-    turn: AtomicUsize,
+    next_index: AtomicUsize,
 }
 
-/// What became of one call.
+/// The result of one call.
 #[derive(Clone, Debug)]
-pub(crate) enum Called {
-    /// An answer.
+pub(crate) enum CallResult {
+    /// The body of the response, whatever its status.
     Answer(Value),
-    /// The connection broke or the answer never came.
+    /// The connection broke, or no complete response came within the timeout.
     Cut(String),
-    /// No instance took it.
+    /// No instance was ready or accepted a connection.
     Nowhere,
 }
 
@@ -42,11 +42,11 @@
             http: http.map_err(|error| error.to_string())?,
             ready: Mutex::new(addresses.clone()),
             addresses,
-            turn: AtomicUsize::new(0),
+            next_index: AtomicUsize::new(0),
         })
     }
 
-    /// Keeps asking the instances; never ends by itself.
+    /// Probes all instances in a loop; never returns.
     pub(crate) async fn probe(&self) {
         loop {
             let mut ready = Vec::new();
@@ -62,51 +62,51 @@
         }
     }
 
-    /// Submits work at the next ready instance; another one only where no
-    /// connection was made.
-    pub(crate) async fn submit(&self, key: &str, body: &Value, wait_ms: u64) -> Called {
+    /// Submits work to the next ready instance. Tries another one only if no
+    /// connection could be established.
+    pub(crate) async fn submit(&self, key: &str, body: &Value, wait_ms: u64) -> CallResult {
         for _ in 0..self.addresses.len() * 2 {
-            let Some(address) = self.next() else {
+            let Some(address) = self.next_ready() else {
                 tokio::time::sleep(PROBE_INTERVAL).await;
                 continue;
             };
             let url = format!("http://{address}/v1/jobs?wait_ms={wait_ms}");
-            let sent = self.http.post(url).header("idempotency-key", key).json(body).send().await;
-            match sent {
+            let result = self.http.post(url).header("idempotency-key", key).json(body).send().await;
+            match result {
                 Ok(response) => {
                     return match response.json().await {
-                        Ok(value) => Called::Answer(value),
-                        Err(error) => Called::Cut(error.to_string()),
+                        Ok(value) => CallResult::Answer(value),
+                        Err(error) => CallResult::Cut(error.to_string()),
                     };
                 }
                 Err(error) if error.is_connect() => {}
-                Err(error) => return Called::Cut(error.to_string()),
+                Err(error) => return CallResult::Cut(error.to_string()),
             }
         }
-        Called::Nowhere
+        CallResult::Nowhere
     }
 
-    /// Waits for the outcome of a job that was accepted.
-    pub(crate) async fn wait(&self, job: &str, wait_ms: u64) -> Called {
-        let Some(address) = self.next() else {
-            return Called::Nowhere;
+    /// Waits for the outcome of a job that an instance has accepted.
+    pub(crate) async fn wait(&self, job: &str, wait_ms: u64) -> CallResult {
+        let Some(address) = self.next_ready() else {
+            return CallResult::Nowhere;
         };
         let url = format!("http://{address}/v1/jobs/{job}?wait_ms={wait_ms}");
         match self.http.get(url).send().await {
             Ok(response) => match response.json().await {
-                Ok(value) => Called::Answer(value),
-                Err(error) => Called::Cut(error.to_string()),
+                Ok(value) => CallResult::Answer(value),
+                Err(error) => CallResult::Cut(error.to_string()),
             },
-            Err(error) => Called::Cut(error.to_string()),
+            Err(error) => CallResult::Cut(error.to_string()),
         }
     }
 
-    fn next(&self) -> Option<String> {
+    fn next_ready(&self) -> Option<String> {
         let ready = self.ready.lock().unwrap_or_else(PoisonError::into_inner);
         if ready.is_empty() {
             return None;
         }
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        Some(ready[turn % ready.len()].clone())
+        let next_index = self.next_index.fetch_add(1, Ordering::Relaxed);
+        Some(ready[next_index % ready.len()].clone())
     }
 }
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -1,4 +1,4 @@
-//! How long a decision takes and how well workers are filled.
+//! Measures how long placement decisions take and how well workers are packed.
 
 use std::time::Instant;
 
@@ -11,12 +11,12 @@
 use stoatwell_placement::Scheduler;
 
 use crate::baseline;
-use crate::baseline::Way;
+use crate::baseline::Strategy;
 use crate::trace;
 use crate::trace::Report;
-use crate::trace::Setting;
+use crate::trace::TraceConfig;
 
-const SIZES: [u32; 3] = [300, 1_000, 3_000];
+const WORKER_COUNTS: [u32; 3] = [300, 1_000, 3_000];
 const SECONDS: u64 = 30;
 
 pub(crate) fn run() -> Result<(), String> {
@@ -25,12 +25,17 @@
         "| workers | tasks placed | placed/s of processor | mean µs | p99 of a pass, µs a task | evicted |"
     );
     println!("|---|---|---|---|---|---|");
-    for workers in SIZES {
-        let report =
-            timed(Setting { workers, seconds: SECONDS, honest: false, learn: true, seed: 1 });
-        let total_us: f64 = report.passes_us.iter().map(|(took_us, _)| took_us).sum();
+    for workers in WORKER_COUNTS {
+        let report = run_timed(TraceConfig {
+            workers,
+            seconds: SECONDS,
+            accurate_sizes: false,
+            use_estimates: true,
+            seed: 1,
+        });
+        let total_us: f64 = report.cycle_times_us.iter().map(|(took_us, _)| took_us).sum();
         let mean_us = total_us / report.placed.max(1) as f64;
-        let p99_us = percentile(&report)?;
+        let p99_us = p99_us_per_task(&report)?;
         println!(
             "| {workers} | {} | {:.0} | {mean_us:.1} | {p99_us:.1} | {} |",
             report.placed,
@@ -44,36 +49,44 @@
         "| sizes | demand | packing | promised too much | workers crowded | urgent wait p99.9 ms | other wait p99 ms |"
     );
     println!("|---|---|---|---|---|---|---|");
-    for (honest, learn) in [(true, true), (false, false), (false, true)] {
-        let setting = Setting { workers: 300, seconds: 60, honest, learn, seed: 1 };
-        let report = trace::run(setting, || 0.0);
-        let sizes = if honest { "honest" } else { "x0.3 to x3" };
-        let demand = if learn { "learned" } else { "as declared" };
+    for (accurate_sizes, use_estimates) in [(true, true), (false, false), (false, true)] {
+        let config =
+            TraceConfig { workers: 300, seconds: 60, accurate_sizes, use_estimates, seed: 1 };
+        let report = trace::run(config, || 0.0);
+        let sizes = if accurate_sizes { "honest" } else { "x0.3 to x3" };
+        let demand = if use_estimates { "learned" } else { "as declared" };
         println!(
             "| {sizes} | {demand} | {:.3} | {} | {:.4} | {} | {} |",
             report.packing,
-            report.overuse,
-            report.crowded,
-            at(&report.urgent_waits_ms, 0.999),
-            at(&report.other_waits_ms, 0.99)
+            report.overcommitted,
+            report.overloaded,
+            quantile(&report.urgent_waits_ms, 0.999),
+            quantile(&report.other_waits_ms, 0.99)
         );
     }
     println!(
         "\nSimple ways over the same arrivals, as declared, nothing gives way (deterministic)\n"
     );
     println!("| sizes | way | packing | workers crowded |\n|---|---|---|---|");
-    for honest in [true, false] {
-        for way in [Way::FirstFit, Way::BestFit, Way::RandomOfTwo] {
-            let setting = Setting { workers: 300, seconds: 60, honest, learn: false, seed: 1 };
-            let (packing, crowded) = baseline::run(setting, way);
-            let sizes = if honest { "honest" } else { "x0.3 to x3" };
-            println!("| {sizes} | {way:?} | {packing:.3} | {crowded:.4} |");
+    for accurate_sizes in [true, false] {
+        for strategy in [Strategy::FirstFit, Strategy::BestFit, Strategy::RandomOfTwo] {
+            let config = TraceConfig {
+                workers: 300,
+                seconds: 60,
+                accurate_sizes,
+                use_estimates: false,
+                seed: 1,
+            };
+            let (packing, overloaded) = baseline::run(config, strategy);
+            let sizes = if accurate_sizes { "honest" } else { "x0.3 to x3" };
+            println!("| {sizes} | {strategy:?} | {packing:.3} | {overloaded:.4} |");
         }
     }
     Ok(())
 }
 
-/// Time for each class in an empty cell of the target's size, jobs of four tasks.
+/// Decision time per class, with jobs of four tasks in an empty cell of 3,000 workers,
+/// the target size.
 fn by_class() {
     const WORKERS: u32 = 3_000;
     const JOBS: u64 = 1_000;
@@ -87,7 +100,7 @@
         }
         let mut rng = Pcg64Mcg::seed_from_u64(1);
         for number in 0..JOBS {
-            let mut waiting = trace::arrival(&mut rng, 0, number, true).waiting;
+            let mut waiting = trace::draw_arrival(&mut rng, 0, number, true).waiting;
             waiting.class = class;
             waiting.tasks =
                 (0..4).map(|task| AttemptId { job: waiting.job, task, attempt: 1 }).collect();
@@ -101,25 +114,25 @@
     }
 }
 
-/// A run with a real clock.
-fn timed(setting: Setting) -> Report {
+/// Runs the trace with cycles timed by the real clock.
+fn run_timed(config: TraceConfig) -> Report {
     let started = Instant::now();
-    trace::run(setting, || started.elapsed().as_nanos() as f64 / 1_000.0)
+    trace::run(config, || started.elapsed().as_nanos() as f64 / 1_000.0)
 }
 
-fn percentile(report: &Report) -> Result<f64, String> {
+fn p99_us_per_task(report: &Report) -> Result<f64, String> {
     let mut histogram = Histogram::<u64>::new(3).map_err(|error| error.to_string())?;
-    for (took_us, placed) in &report.passes_us {
+    for (took_us, placed) in &report.cycle_times_us {
         let nanos_per_task = took_us * 1_000.0 / *placed as f64;
         histogram.record(nanos_per_task as u64).map_err(|error| error.to_string())?;
     }
     Ok(histogram.value_at_percentile(99.0) as f64 / 1_000.0)
 }
 
-/// The value at this part of the sorted values.
-pub(crate) fn at(values: &[u64], part: f64) -> u64 {
+/// The value at `fraction` of the sorted values, 0 if there are none.
+pub(crate) fn quantile(values: &[u64], fraction: f64) -> u64 {
     let mut sorted = values.to_vec();
     sorted.sort_unstable();
-    let index = (sorted.len() as f64 * part) as usize;
+    let index = (sorted.len() as f64 * fraction) as usize;
     sorted.get(index.min(sorted.len().saturating_sub(1))).copied().unwrap_or(0)
 }
--- a/crates/bench/src/fit.rs
+++ b/crates/bench/src/fit.rs
@@ -1,15 +1,16 @@
-//! Straight lines through measured points.
+//! Linear regression.
 
-/// A line, and how far the points lie from it.
+/// A fitted line and its largest residual.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Line {
     pub(crate) intercept: f64,
     pub(crate) slope: f64,
-    /// Largest distance of a point from the line, as a part of the largest value.
+    /// Largest vertical distance of a point from the line, as a fraction of the
+    /// largest absolute value.
     pub(crate) residual: f64,
 }
 
-/// The line of least squares.
+/// Fits a line by least squares.
 pub(crate) fn line(points: &[(f64, f64)]) -> Line {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,4 +1,5 @@
-//! Many requests at once, each with a body of its own, and what became of them.
+//! A load test: sends concurrent requests with distinct bodies and counts their
+//! outcomes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,13 +14,13 @@
 use tokio::task::JoinSet;
 
 use crate::balancer::Balancer;
-use crate::balancer::Called;
+use crate::balancer::CallResult;
 
 const WAIT_MS: u64 = 20_000;
 
-/// One request's end.
-struct Ended {
-    what: String,
+/// The outcome of one request and its latency.
+struct RequestResult {
+    outcome: String,
     took_ms: u64,
 }
 
@@ -38,38 +39,41 @@
         let next = Arc::clone(&next);
         let (entry, work_ms) = (text("entry"), number("work-ms"));
         callers.spawn(async move {
-            let mut ended = Vec::new();
+            let mut results = Vec::new();
             loop {
                 let index = next.fetch_add(1, Ordering::Relaxed);
                 if index >= requests {
-                    return ended;
+                    return results;
                 }
-                ended.push(one(&balancer, &entry, &format!("{run_id:x}-{index}"), work_ms).await);
+                results.push(
+                    run_request(&balancer, &entry, &format!("{run_id:x}-{index}"), work_ms).await,
+                );
             }
         });
     }
-    let ended: Vec<Ended> = callers.join_all().await.into_iter().flatten().collect();
+    let results: Vec<RequestResult> = callers.join_all().await.into_iter().flatten().collect();
     probing.abort();
-    report(&ended)
+    report(&results)
 }
 
-async fn one(balancer: &Balancer, entry: &str, key: &str, work_ms: u64) -> Ended {
+async fn run_request(balancer: &Balancer, entry: &str, key: &str, work_ms: u64) -> RequestResult {
     let started = Instant::now();
     let body = json!({ "work_ms": work_ms, "marker": key }).to_string();
     let submission = json!({ "entry": entry, "body": body });
-    let called = balancer.submit(key, &submission, WAIT_MS).await;
-    let what = match called {
-        Called::Answer(view) => describe(&view, key),
-        Called::Cut(why) => {
-            eprintln!("cut: {why}");
+    let result = balancer.submit(key, &submission, WAIT_MS).await;
+    let outcome = match result {
+        CallResult::Answer(view) => describe(&view, key),
+        CallResult::Cut(error) => {
+            eprintln!("cut: {error}");
             "cut".to_owned()
         }
-        Called::Nowhere => "nowhere".to_owned(),
+        CallResult::Nowhere => "nowhere".to_owned(),
     };
-    Ended { what, took_ms: started.elapsed().as_millis() as u64 }
+    RequestResult { outcome, took_ms: started.elapsed().as_millis() as u64 }
 }
 
-/// "done" only if the answer is to this very request.
+/// The outcome's label; "done" only if the answer contains the request's key, and
+/// "crossed" if it belongs to another request.
 fn describe(view: &Value, key: &str) -> String {
     if let Some(answer) = view["outcome"]["done"]["answer"].as_str() {
         return if answer.contains(key) { "done".to_owned() } else { "crossed".to_owned() };
@@ -80,25 +84,30 @@
     format!("refused {}", view["code"])
 }
 
-fn report(ended: &[Ended]) -> Result<(), String> {
+fn report(results: &[RequestResult]) -> Result<(), String> {
     let mut counts: BTreeMap<&str, u64> = BTreeMap::new();
     let mut times = Histogram::<u64>::new(3).map_err(|error| error.to_string())?;
-    for one in ended {
-        *counts.entry(&one.what).or_default() += 1;
-        times.record(one.took_ms).map_err(|error| error.to_string())?;
+    for result in results {
+        *counts.entry(&result.outcome).or_default() += 1;
+        times.record(result.took_ms).map_err(|error| error.to_string())?;
     }
-    println!("requests {}", ended.len());
-    for (what, count) in &counts {
-        println!("  {what}: {count}");
+    println!("requests {}", results.len());
+    for (outcome, count) in &counts {
+        println!("  {outcome}: {count}");
     }
-    let at = |percentile| times.value_at_percentile(percentile);
-    println!("  milliseconds: p50 {}, p99 {}, max {}", at(50.0), at(99.0), times.max());
-    let bad: u64 = ["cut", "crossed", "unknown", "nowhere", "failed"]
+    let percentile = |percent| times.value_at_percentile(percent);
+    println!(
+        "  milliseconds: p50 {}, p99 {}, max {}",
+        percentile(50.0),
+        percentile(99.0),
+        times.max()
+    );
+    let failures: u64 = ["cut", "crossed", "unknown", "nowhere", "failed"]
         .iter()
-        .filter_map(|what| counts.get(what))
+        .filter_map(|outcome| counts.get(outcome))
         .sum();
-    if bad > 0 || !counts.contains_key("done") {
-        return Err(format!("{bad} requests were cut, crossed, lost or left unknown"));
+    if failures > 0 || !counts.contains_key("done") {
+        return Err(format!("{failures} requests were cut, crossed, lost or left unknown"));
     }
     Ok(())
 }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,22 +1,23 @@
 //! Measurements and experiments.
 //!
-//! `workloads` submits one of each of both users' six workloads and checks the
-//! outcomes; `load` plays a balancer with callers behind it and tells whether
-//! any request was cut. `slopes` measures what control costs as the cell grows,
-//! `decisions` how long and how well work is placed, `overhead` what a request
-//! through a daemon costs against going to the minion. `check` holds all that is
-//! deterministic against the bounds in `bounds.json`.
+//! `workloads` submits one job for each of the six workloads of both users and checks
+//! the outcomes. `load` sends requests through a load balancer and fails if any was
+//! cut, mixed up or lost. `slopes` measures how the overhead of the control plane grows with the cell,
+//! `decisions` the time and quality of placement, `overhead` the latency of a request
+//! through a daemon compared with a direct one to the minion, and `keys` the check of
+//! API keys. `check` compares all deterministic figures with the bounds in
+//! `bounds.json`.
 
 mod balancer;
 mod baseline;
 mod check;
 mod decisions;
 mod fit;
+mod idle;
 mod keys;
 mod load;
 mod overhead;
 mod plot;
-mod rest;
 mod slopes;
 mod spread;
 mod trace;
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -1,5 +1,5 @@
-//! A request through a daemon against one that goes to the minion itself, in
-//! one run and on one connection each.
+//! Compares the latency of requests through a daemon with that of direct requests to
+//! the minion, in one run and on one connection each.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,14 +16,14 @@
 use stoatwell_standin::config::WorkerGroup;
 use stoatwelld::Daemon;
 
-use crate::decisions::at;
+use crate::decisions::quantile;
 use crate::slopes;
 
 const REQUESTS: u32 = 500;
-const LOOKS: u32 = 200;
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const POLL_ATTEMPTS: u32 = 200;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Prints the times and their ratios.
+/// Prints the latencies and their ratios to the direct ones.
 pub(crate) async fn run() -> Result<(), String> {
     let standin = Standin::start(config()).await.map_err(|error| error.to_string())?;
     let mut settings = stoatwell_settings::example("bench");
@@ -33,7 +33,7 @@
     let daemon = Daemon::start(settings).await.map_err(|error| error.to_string())?;
     let http = Client::builder().no_proxy().build().map_err(|error| error.to_string())?;
     let base = format!("http://{}", daemon.http_address);
-    prepare(&http, &base).await?;
+    set_up_cell(&http, &base).await?;
     let resident_mib = slopes::resident_kib()? / 1_024;
     println!("\nResident at rest, one process with a daemon and the stand-in: {resident_mib} MiB");
     let minion = format!("http://{}/minions/w1-minion/requests", standin.address);
@@ -41,17 +41,17 @@
         http.post(&minion).header("x-attempt-id", format!("{number:032x}.0.1")).body("{}")
     });
     let direct = direct.await?;
-    let repeatable = measure(|number| submit(&http, &base, "lookup", number)).await?;
-    let recorded = measure(|number| submit(&http, &base, "booking", number)).await?;
+    let idempotent = measure(|number| submit(&http, &base, "lookup", number)).await?;
+    let at_most_once = measure(|number| submit(&http, &base, "booking", number)).await?;
     println!("\n## A request through a daemon, one after the other\n");
     println!("| way | p50 us | p99 us | p50 against direct |\n|---|---|---|---|");
-    for (way, times) in [
+    for (path, times) in [
         ("direct to the minion", &direct),
-        ("through a daemon, may be repeated", &repeatable),
-        ("through a daemon, recorded first (two writes)", &recorded),
+        ("through a daemon, may be repeated", &idempotent),
+        ("through a daemon, recorded first (two writes)", &at_most_once),
     ] {
-        let ratio = at(times, 0.5) as f64 / at(&direct, 0.5).max(1) as f64;
-        println!("| {way} | {} | {} | {ratio:.1} |", at(times, 0.5), at(times, 0.99));
+        let ratio = quantile(times, 0.5) as f64 / quantile(&direct, 0.5).max(1) as f64;
+        println!("| {path} | {} | {} | {ratio:.1} |", quantile(times, 0.5), quantile(times, 0.99));
     }
     Ok(())
 }
@@ -71,8 +71,9 @@
     Config { workers: vec![group], ..Config::default() }
 }
 
-/// Loads two entries and waits until a request is answered.
-async fn prepare(http: &Client, base: &str) -> Result<(), String> {
+/// Creates the owner and two entries, starts the target and waits until a request
+/// succeeds.
+async fn set_up_cell(http: &Client, base: &str) -> Result<(), String> {
     let owner = json!({ "kind": "owner", "owner": "bench", "quota": { "cpu_millis": 1_000_000, "memory_bytes": 1_u64 << 40 } });
     send(http.put(format!("{base}/v1/entries/owner/bench")).json(&owner)).await?;
     for (name, execution) in [("lookup", "idempotent"), ("booking", "at_most_once")] {
@@ -82,14 +83,14 @@
     }
     send(http.post(format!("{base}/v1/targets/w1/start")).json(&json!({ "owner": "bench" })))
         .await?;
-    for number in 0..LOOKS {
+    for number in 0..POLL_ATTEMPTS {
         let view = send(submit(http, base, "lookup", 1_000_000 + number)).await?;
         if view["state"] == "done" {
             return Ok(());
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    Err("the daemon answers no request".to_owned())
+    Err("the daemon served no request in time".to_owned())
 }
 
 fn submit(http: &Client, base: &str, entry: &str, number: u32) -> RequestBuilder {
--- a/crates/bench/src/trace.rs
+++ b/crates/bench/src/trace.rs
@@ -1,5 +1,5 @@
-//! A seeded day of work for the decision library: wrong sizes, jobs that can
-//! never run, cancellations, urgent bursts.
+//! A seeded trace of jobs for the placement library, with declared sizes that may be
+//! wrong and a share of urgent jobs.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -27,75 +27,78 @@
 const GIB: u64 = 1 << 30;
 const OWNER: &str = "owner";
 const ENTRIES: u32 = 12;
-/// Between two passes.
+/// Virtual time between two scheduling cycles.
 pub(crate) const STEP_MS: u64 = 50;
-/// More tasks than fit a worker of 16 cores at the mean true size.
+/// More tasks than fit on a worker of 16 cores at their mean actual size.
 pub(crate) const TASKS_PER_WORKER: u64 = 20;
 
-/// What a run showed.
+/// The results of a run.
 #[derive(Debug, Default)]
 pub(crate) struct Report {
     pub(crate) placed: u64,
     pub(crate) evicted: u64,
     pub(crate) expired: u64,
-    /// Waits of urgent and of other tasks, in milliseconds.
+    /// Times that urgent tasks waited for placement; those of all others follow.
     pub(crate) urgent_waits_ms: Vec<u64>,
     pub(crate) other_waits_ms: Vec<u64>,
-    /// Mean used part of the scarcest resource, by true use, over the last half.
+    /// Mean share of the scarcest resource that is actually used, over the second half.
     pub(crate) packing: f64,
-    /// Workers that were promised more than they hold, counted each moment.
-    pub(crate) overuse: u64,
-    /// Part of the workers on which more was truly used than they hold, over the last half.
-    pub(crate) crowded: f64,
-    /// Microseconds of each pass that placed something, with its placements.
-    pub(crate) passes_us: Vec<(f64, u64)>,
+    /// Workers whose reserved resources exceed their capacity, summed over all cycles.
+    pub(crate) overcommitted: u64,
+    /// Mean share of workers whose actual use exceeds their capacity, over the second half.
+    pub(crate) overloaded: f64,
+    /// Duration of each cycle that placed tasks, with the number of tasks placed.
+    pub(crate) cycle_times_us: Vec<(f64, u64)>,
 }
 
-/// What kind of run.
+/// The parameters of a run.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Setting {
+pub(crate) struct TraceConfig {
     pub(crate) workers: u32,
     pub(crate) seconds: u64,
-    /// Whether declared sizes are right.
-    pub(crate) honest: bool,
-    pub(crate) learn: bool,
+    /// Whether jobs declare the sizes that they actually use.
+    pub(crate) accurate_sizes: bool,
+    pub(crate) use_estimates: bool,
     pub(crate) seed: u64,
 }
 
 struct Running {
     ends_ms: u64,
-    truth: Resources,
+    actual_use: Resources,
     worker: WorkerId,
     demand: Resources,
-    usage_told: bool,
+    usage_reported: bool,
     started_ms: u64,
 }
 
-/// Feeds the trace to the scheduler in virtual time.
-pub(crate) fn run(setting: Setting, clock: impl Fn() -> f64) -> Report {
-    let mut rng = Pcg64Mcg::seed_from_u64(setting.seed);
+/// Feeds the trace to the scheduler in virtual time. `clock` returns the real time in
+/// microseconds, by which the cycles are timed.
+pub(crate) fn run(config: TraceConfig, clock: impl Fn() -> f64) -> Report {
+    let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
     let mut scheduler =
-        Scheduler::new(Policy { use_estimates: setting.learn, ..Policy::default() });
+        Scheduler::new(Policy { use_estimates: config.use_estimates, ..Policy::default() });
     let mut capacity = Resources::ZERO;
-    for number in 0..setting.workers {
+    for number in 0..config.workers {
         capacity = capacity.plus(&add_worker(&mut scheduler, number));
     }
     let mut report = Report::default();
     let mut running: BTreeMap<AttemptId, Running> = BTreeMap::new();
-    let mut truths: BTreeMap<JobId, (Resources, u64, Urgency, u64)> = BTreeMap::new();
+    let mut job_facts: BTreeMap<JobId, (Resources, u64, Urgency, u64)> = BTreeMap::new();
     let mut next_job = 0;
-    let steps = setting.seconds * 1_000 / STEP_MS;
+    let steps = config.seconds * 1_000 / STEP_MS;
     let mut used_sum = 0.0;
-    let mut crowded_sum = 0;
+    let mut overloaded_sum = 0;
     for step in 0..steps {
         let now_ms = step * STEP_MS;
-        // A task runs six seconds on the mean; this keeps the cell more than full.
-        let wanted = u64::from(setting.workers) * TASKS_PER_WORKER * 11 / 10;
+        // A task runs for six seconds on average. This many tasks, queued and running, keep
+        // the cell more than full.
+        let wanted = u64::from(config.workers) * TASKS_PER_WORKER * 11 / 10;
         while scheduler.queue.tasks() + (running.len() as u64) < wanted {
             next_job += 1;
-            let arrival = arrival(&mut rng, now_ms, next_job, setting.honest);
+            let arrival = draw_arrival(&mut rng, now_ms, next_job, config.accurate_sizes);
             let urgency = arrival.waiting.urgency;
-            truths.insert(arrival.waiting.job, (arrival.truth, arrival.run_ms, urgency, now_ms));
+            job_facts
+                .insert(arrival.waiting.job, (arrival.actual_use, arrival.run_ms, urgency, now_ms));
             scheduler.enqueue(arrival.waiting);
         }
         let started_us = clock();
@@ -105,7 +108,7 @@
         for decision in decisions {
             match decision {
                 stoatwell_placement::Decision::Start { job, tasks } => {
-                    let (truth, run_ms, urgency, accepted_ms) = truths[&job];
+                    let (actual_use, run_ms, urgency, accepted_ms) = job_facts[&job];
                     for task in tasks {
                         for victim in &task.evict {
                             running.remove(victim);
@@ -119,89 +122,93 @@
                         };
                         waits.push(now_ms - accepted_ms);
                         let ends_ms = now_ms + run_ms;
-                        let one = Running {
+                        let running_task = Running {
                             ends_ms,
-                            truth,
+                            actual_use,
                             worker: task.worker,
                             demand: task.demand,
-                            usage_told: false,
+                            usage_reported: false,
                             started_ms: now_ms,
                         };
-                        running.insert(task.attempt, one);
+                        running.insert(task.attempt, running_task);
                     }
                 }
                 stoatwell_placement::Decision::Expired { .. } => report.expired += 1,
             }
         }
         if placed > 0 {
-            report.passes_us.push((took_us, placed));
+            report.cycle_times_us.push((took_us, placed));
         }
         report.placed += placed;
         advance(&mut scheduler, &mut running, now_ms);
-        let (used, overused, crowded) = look(&running, &scheduler);
-        report.overuse += overused;
+        let (used, overcommitted_workers, overloaded) = measure_use(&running, &scheduler);
+        report.overcommitted += overcommitted_workers;
         if step >= steps / 2 {
             used_sum += used.dominant_share(&capacity);
-            crowded_sum += crowded;
+            overloaded_sum += overloaded;
         }
     }
-    let counted = (steps - steps / 2) as f64;
-    report.packing = used_sum / counted;
-    report.crowded = crowded_sum as f64 / counted / f64::from(setting.workers);
+    let counted_steps = (steps - steps / 2) as f64;
+    report.packing = used_sum / counted_steps;
+    report.overloaded = overloaded_sum as f64 / counted_steps / f64::from(config.workers);
     report
 }
 
-/// Tasks end, and tell what they used with a lag of two seconds.
+/// Ends the tasks that are due, and reports the actual use of running tasks two
+/// seconds after their start.
 fn advance(scheduler: &mut Scheduler, running: &mut BTreeMap<AttemptId, Running>, now_ms: u64) {
     let mut ended = Vec::new();
-    let mut told = Vec::new();
-    for (attempt, one) in running.iter_mut() {
-        if one.ends_ms <= now_ms {
+    let mut reports = Vec::new();
+    for (attempt, task) in running.iter_mut() {
+        if task.ends_ms <= now_ms {
             ended.push(*attempt);
-        } else if !one.usage_told && now_ms >= one.started_ms + 2_000 {
-            one.usage_told = true;
-            told.push((*attempt, one.truth));
+        } else if !task.usage_reported && now_ms >= task.started_ms + 2_000 {
+            task.usage_reported = true;
+            reports.push((*attempt, task.actual_use));
         }
     }
-    for (attempt, truth) in told {
-        for victim in scheduler.record_usage(now_ms, attempt, &truth) {
+    for (attempt, actual_use) in reports {
+        for victim in scheduler.record_usage(now_ms, attempt, &actual_use) {
             if let Some(stopped) = running.remove(&victim) {
                 scheduler.task_ended(now_ms, &stopped.worker, victim, TaskEnd::Stopped);
             }
         }
     }
     for attempt in ended {
-        if let Some(one) = running.remove(&attempt) {
-            scheduler.record_usage(now_ms, attempt, &one.truth);
-            scheduler.task_ended(now_ms, &one.worker, attempt, TaskEnd::Succeeded);
+        if let Some(task) = running.remove(&attempt) {
+            scheduler.record_usage(now_ms, attempt, &task.actual_use);
+            scheduler.task_ended(now_ms, &task.worker, attempt, TaskEnd::Succeeded);
         }
     }
 }
 
-/// What is truly used in all, how many workers were promised more than they
-/// hold, and on how many more is truly used than they hold.
-fn look(running: &BTreeMap<AttemptId, Running>, scheduler: &Scheduler) -> (Resources, u64, u64) {
+/// The total actual use, the number of workers whose reserved resources exceed their
+/// capacity, and the number of workers whose actual use exceeds it.
+fn measure_use(
+    running: &BTreeMap<AttemptId, Running>,
+    scheduler: &Scheduler,
+) -> (Resources, u64, u64) {
     let mut used = Resources::ZERO;
     let mut sums: BTreeMap<&WorkerId, (Resources, Resources)> = BTreeMap::new();
-    for one in running.values() {
-        used = used.plus(&one.truth);
-        let (promised, truth) = sums.entry(&one.worker).or_default();
-        *promised = promised.plus(&one.demand);
-        *truth = truth.plus(&one.truth);
+    for task in running.values() {
+        used = used.plus(&task.actual_use);
+        let (reserved, actual_use) = sums.entry(&task.worker).or_default();
+        *reserved = reserved.plus(&task.demand);
+        *actual_use = actual_use.plus(&task.actual_use);
     }
-    let mut over = 0;
-    let mut crowded = 0;
-    for (worker, (promised, truth)) in sums {
-        let Some(slot) = scheduler.cell.worker_info(worker) else {
+    let mut overcommitted = 0;
+    let mut overloaded = 0;
+    for (worker, (reserved, actual_use)) in sums {
+        let Some(info) = scheduler.cell.worker_info(worker) else {
             continue;
         };
-        over += u64::from(!slot.capacity.holds(&promised));
-        crowded += u64::from(!slot.capacity.holds(&truth));
+        overcommitted += u64::from(!info.capacity.holds(&reserved));
+        overloaded += u64::from(!info.capacity.holds(&actual_use));
     }
-    (used, over, crowded)
+    (used, overcommitted, overloaded)
 }
 
-/// What a worker holds.
+/// The capacity of the worker with this number; every third one has accelerators.
 pub(crate) fn capacity(number: u32) -> Resources {
     let accelerators = if number.is_multiple_of(3) { 6 } else { 0 };
     Resources { cpu_millis: 16_000, memory_bytes: 64 * GIB, accelerators }
@@ -231,35 +238,41 @@
     capacity
 }
 
-/// One job as it arrives.
+/// A job that arrives, with its actual size and duration.
 pub(crate) struct Arrival {
     pub(crate) waiting: WaitingJob,
-    /// What each of its tasks truly uses.
-    pub(crate) truth: Resources,
+    /// The resources that each of its tasks actually uses.
+    pub(crate) actual_use: Resources,
     pub(crate) run_ms: u64,
 }
 
-/// Draws the next job.
-pub(crate) fn arrival(rng: &mut Pcg64Mcg, now_ms: u64, number: u64, honest: bool) -> Arrival {
+/// Draws the next job at random.
+pub(crate) fn draw_arrival(
+    rng: &mut Pcg64Mcg,
+    now_ms: u64,
+    number: u64,
+    accurate_sizes: bool,
+) -> Arrival {
     let entry = rng.random_range(0..ENTRIES);
     let urgency = match rng.random_range(0..100) {
         0..5 => Urgency::Urgent,
         5..30 => Urgency::Normal,
         _ => Urgency::Patient,
     };
-    // The work of one entry is alike; what is declared of it is not.
+    // Jobs of one entry use similar resources, but their declared sizes vary.
     let base_cpu = 500 + u64::from(entry) * 75;
-    let truth = Resources {
+    let actual_use = Resources {
         cpu_millis: base_cpu * rng.random_range(90..110) / 100,
         memory_bytes: (1 + u64::from(entry % 10)) * GIB,
         accelerators: u64::from(entry.is_multiple_of(8)),
     };
-    let wrong = if honest { 100 } else { [30, 60, 100, 180, 300][rng.random_range(0..5)] };
-    let scaled = |amount: u64| amount * wrong / 100;
+    let declared_percent =
+        if accurate_sizes { 100 } else { [30, 60, 100, 180, 300][rng.random_range(0..5)] };
+    let scaled = |amount: u64| amount * declared_percent / 100;
     let demand = Resources {
-        cpu_millis: scaled(truth.cpu_millis).clamp(1, 16_000),
-        memory_bytes: scaled(truth.memory_bytes).clamp(1, 64 * GIB),
-        accelerators: truth.accelerators,
+        cpu_millis: scaled(actual_use.cpu_millis).clamp(1, 16_000),
+        memory_bytes: scaled(actual_use.memory_bytes).clamp(1, 64 * GIB),
+        accelerators: actual_use.accelerators,
     };
     let job = JobId(u128::from(number));
     let tasks = rng.random_range(1..20);
@@ -279,5 +292,5 @@
         tasks: attempts,
         not_before_ms: 0,
     };
-    Arrival { waiting, truth, run_ms }
+    Arrival { waiting, actual_use, run_ms }
 }
--- a/crates/bench/src/workloads.rs
+++ b/crates/bench/src/workloads.rs
@@ -1,15 +1,15 @@
-//! One of each workload of both users.
+//! Submits one job for each workload of both users and prints the outcomes.
 
 use clap::ArgMatches;
 use serde_json::Value;
 use serde_json::json;
 
 use crate::balancer::Balancer;
-use crate::balancer::Called;
+use crate::balancer::CallResult;
 
 const WAIT_MS: u64 = 15_000;
 
-/// One workload and what a right outcome is.
+/// A workload: its catalogue entry, number of tasks and body.
 struct Workload {
     entry: &'static str,
     tasks: u32,
@@ -36,14 +36,14 @@
         "{:<28} {:<8} {:<10} {:>9}  {:<34} OUTCOME",
         "WORKLOAD", "STATE", "ZONE", "WAITED ms", "WORKERS"
     );
-    let mut wrong = 0;
+    let mut failed_count = 0;
     for workload in workloads() {
         let view = run_one(&balancer, &workload).await?;
         print_row(workload.entry, &view);
-        wrong += u32::from(view["state"] != "done");
+        failed_count += u32::from(view["state"] != "done");
     }
-    if wrong > 0 {
-        return Err(format!("{wrong} workloads have a wrong outcome"));
+    if failed_count > 0 {
+        return Err(format!("{failed_count} workloads have a wrong outcome"));
     }
     Ok(())
 }
@@ -56,7 +56,7 @@
     });
     let key = format!("{}-{:x}", workload.entry, rand::random::<u64>());
     let view = match balancer.submit(&key, &submission, WAIT_MS).await {
-        Called::Answer(view) => view,
+        CallResult::Answer(view) => view,
         other => return Err(format!("{}: {other:?}", workload.entry)),
     };
     if !matches!(view["state"].as_str(), Some("queued" | "running")) {
@@ -64,7 +64,7 @@
     }
     let job = view["job"].as_str().unwrap_or_default().to_owned();
     match balancer.wait(&job, WAIT_MS).await {
-        Called::Answer(view) => Ok(view),
+        CallResult::Answer(view) => Ok(view),
         other => Err(format!("{}: {other:?}", workload.entry)),
     }
 }
