--- a/crates/engine/src/catalogue.rs
+++ b/crates/engine/src/catalogue.rs
@@ -230,9 +230,9 @@
     }
 
     /// Whether some target that serves this owner, in any zone, is large enough for
-    /// `need`; `None` if such targets exist but no daemon has reported any yet.
-    pub(crate) fn could_fit_anywhere(&self, owner: &OwnerName, need: &Resources) -> Option<bool> {
-        if self.scheduler.cell.could_fit(owner, need) {
+    /// `demand`; `None` if such targets exist but no daemon has reported any yet.
+    pub(crate) fn could_fit_anywhere(&self, owner: &OwnerName, demand: &Resources) -> Option<bool> {
+        if self.scheduler.cell.could_fit(owner, demand) {
             return Some(true);
         }
         let serving = self.catalogue.targets().filter(|target| target.serves(owner)).count();
@@ -241,7 +241,7 @@
         let other_zones = self.zones.values().map(|zone| &zone.news.summary);
         for summary in zone_peers.chain(other_zones) {
             for entry in summary.owners.iter().filter(|entry| entry.owner == *owner) {
-                if entry.largest.holds(need) {
+                if entry.largest.holds(demand) {
                     return Some(true);
                 }
                 reported += 1;
--- a/crates/engine/src/inquiry.rs
+++ b/crates/engine/src/inquiry.rs
@@ -79,7 +79,7 @@
         job.inquire_not_before_ms =
             now_ms + if in_doubt.is_empty() { RUNNING_INQUIRY_MS } else { IN_DOUBT_INQUIRY_MS };
         let mut attempts = in_doubt;
-        attempts.extend(job.machine.active());
+        attempts.extend(job.machine.possibly_running());
         let mut tokens = BTreeMap::new();
         for intent in &job.machine.record.intents {
             tokens.insert(intent.task, intent.token);
@@ -264,7 +264,7 @@
     fn job_workers(&self) -> Vec<WorkerId> {
         let mut workers = Vec::new();
         for job in self.jobs.values() {
-            let attempts = job.machine.in_doubt().into_iter().chain(job.machine.active());
+            let attempts = job.machine.in_doubt().into_iter().chain(job.machine.possibly_running());
             workers.extend(attempts.map(|(_, worker)| worker));
         }
         workers
--- a/crates/engine/src/peers.rs
+++ b/crates/engine/src/peers.rs
@@ -356,13 +356,13 @@
     pub(crate) fn find_peer_with_capacity(
         &self,
         owner: &OwnerName,
-        need: &Resources,
+        demand: &Resources,
     ) -> Option<DaemonId> {
         let has_capacity = |summary: &Summary| {
             summary
                 .owners
                 .iter()
-                .any(|found| found.owner == *owner && found.largest_free.holds(need))
+                .any(|found| found.owner == *owner && found.largest_free.holds(demand))
         };
         let same_zone = self.members.live_in_zone(self.now_ms, &self.me.zone);
         let same_zone =
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -157,7 +157,7 @@
     /// Assigns the slot that was taken on a minion to this request.
     fn assign_minion(&mut self, request_id: u64, picked: PickedMinion) {
         let Some(request) = self.requests.get_mut(&request_id) else {
-            self.minions.release(self.now_ms, &picked.minion, RequestEnd::Answered);
+            self.minions.release(self.now_ms, &picked.minion, RequestEnd::NoFailure);
             return;
         };
         let worker = picked.worker.clone();
@@ -183,7 +183,7 @@
             self.requests.get(&request_id).is_none_or(|request| request.deadline_ms <= self.now_ms);
         if expired {
             // The deadline passed while the record was being written, so nothing was sent.
-            self.release_slot(request_id, RequestEnd::Answered);
+            self.release_slot(request_id, RequestEnd::NoFailure);
             self.requests.remove(&request_id);
             self.finish_request(
                 id,
@@ -229,7 +229,7 @@
     ) {
         let end = match &reply {
             Ok(MinionReply::Busy) => RequestEnd::Busy,
-            Ok(_) => RequestEnd::Answered,
+            Ok(_) => RequestEnd::NoFailure,
             Err(_) => RequestEnd::Failed,
         };
         self.minions.release(self.now_ms, minion, end);
@@ -429,14 +429,14 @@
         if let Some(request_id) = request_id
             && self.requests.get(&request_id).is_some_and(|request| !request.sent)
         {
-            self.release_slot(request_id, RequestEnd::Answered);
+            self.release_slot(request_id, RequestEnd::NoFailure);
             self.requests.remove(&request_id);
         }
     }
 
     pub(crate) fn drop_request_of(&mut self, job: &Job) {
         if let Some(request_id) = job.request {
-            self.release_slot(request_id, RequestEnd::Answered);
+            self.release_slot(request_id, RequestEnd::NoFailure);
             self.requests.remove(&request_id);
         }
     }
--- a/crates/engine/src/worker_leases.rs
+++ b/crates/engine/src/worker_leases.rs
@@ -230,7 +230,7 @@
         let running = self.running_task(worker, report);
         // A reservation for the same attempt on another worker is no longer needed.
         self.remote.remove_grant(report.attempt);
-        self.scheduler.adopt(report.attempt, running);
+        self.scheduler.add_running(report.attempt, running);
         let victims = self.scheduler.record_usage(self.now_ms, report.attempt, &report.usage);
         for victim in victims {
             self.queue_stop(worker, victim, StopMode::Checkpoint);
@@ -264,9 +264,9 @@
             urgency: entry.map_or(Urgency::Urgent, |entry| entry.urgency),
             declared: report.demand,
             demand: report.demand,
-            used: report.usage,
+            peak_usage: report.usage,
             started_ms: self.now_ms,
-            uses_claimed: false,
+            uses_reserved: false,
         }
     }
 
--- a/crates/ledger/src/machine/gang.rs
+++ b/crates/ledger/src/machine/gang.rs
@@ -46,7 +46,7 @@
         let stop_not_sent = !self.gang_restarting;
         self.gang_restarting = true;
         let active: Vec<AttemptId> =
-            self.active().into_iter().map(|(attempt, _)| attempt).collect();
+            self.possibly_running().into_iter().map(|(attempt, _)| attempt).collect();
         if !active.is_empty() {
             return if stop_not_sent { vec![JobEffect::Stop(active)] } else { Vec::new() };
         }
--- a/crates/ledger/src/machine/mod.rs
+++ b/crates/ledger/src/machine/mod.rs
@@ -146,10 +146,10 @@
     }
 
     /// Attempts that may be running, with their workers.
-    pub fn active(&self) -> Vec<(AttemptId, WorkerId)> {
+    pub fn possibly_running(&self) -> Vec<(AttemptId, WorkerId)> {
         let mut found = Vec::new();
         for (index, task) in self.tasks.iter().enumerate() {
-            if task.phase.may_run()
+            if task.phase.may_be_running()
                 && let Some(worker) = &task.worker
             {
                 found.push((self.attempt(index), worker.clone()));
@@ -362,7 +362,7 @@
         let Some(task) = self.current_task_mut(attempt) else {
             return Vec::new();
         };
-        if !task.phase.may_run() && task.phase != Phase::InDoubt {
+        if !task.phase.may_be_running() && task.phase != Phase::InDoubt {
             return Vec::new();
         }
         self.record.started = true;
@@ -382,7 +382,7 @@
         let Some(task) = self.current_task_mut(attempt) else {
             return Vec::new();
         };
-        if !task.phase.may_run() && task.phase != Phase::InDoubt {
+        if !task.phase.may_be_running() && task.phase != Phase::InDoubt {
             return Vec::new();
         }
         if self.record.cancelled {
@@ -400,7 +400,7 @@
         let Some(task) = self.current_task_mut(attempt) else {
             return Vec::new();
         };
-        if !task.phase.may_run() && task.phase != Phase::InDoubt {
+        if !task.phase.may_be_running() && task.phase != Phase::InDoubt {
             return Vec::new();
         }
         match self.record.execution {
@@ -428,7 +428,7 @@
             }
         }
         let active: Vec<AttemptId> =
-            self.active().into_iter().map(|(attempt, _)| attempt).collect();
+            self.possibly_running().into_iter().map(|(attempt, _)| attempt).collect();
         if !active.is_empty() {
             effects.push(JobEffect::Stop(active));
         }
@@ -494,7 +494,9 @@
 
     /// Whether any start is about to be sent or in flight, or any task may be running.
     pub fn is_active(&self) -> bool {
-        self.tasks.iter().any(|task| task.phase.may_run() || task.phase == Phase::WritingIntent)
+        self.tasks
+            .iter()
+            .any(|task| task.phase.may_be_running() || task.phase == Phase::WritingIntent)
     }
 
     /// Adds a line to the history that `explain` shows; the oldest line may be dropped.
@@ -510,8 +512,10 @@
         if let Some(outcome) = self.durable_outcome() {
             return outcome.state();
         }
-        let has_running_task =
-            self.tasks.iter().any(|task| task.phase.may_run() || task.phase == Phase::InDoubt);
+        let has_running_task = self
+            .tasks
+            .iter()
+            .any(|task| task.phase.may_be_running() || task.phase == Phase::InDoubt);
         if has_running_task || self.tasks.iter().any(|task| task.phase == Phase::Done) {
             return JobState::Running;
         }
@@ -524,7 +528,7 @@
         let mut running = 0;
         let mut done = 0;
         for task in &self.tasks {
-            running += u32::from(task.phase.may_run());
+            running += u32::from(task.phase.may_be_running());
             done += u32::from(task.phase == Phase::Done);
             if let Some(worker) = &task.worker
                 && workers.len() < WORKERS_SHOWN
--- a/crates/ledger/src/machine/phase.rs
+++ b/crates/ledger/src/machine/phase.rs
@@ -41,7 +41,7 @@
 
 impl Phase {
     /// Whether a start may have been sent and the end of the task is not known.
-    pub(super) fn may_run(self) -> bool {
+    pub(super) fn may_be_running(self) -> bool {
         matches!(self, Self::Starting | Self::Running)
     }
 
--- a/crates/placement/src/cell/mod.rs
+++ b/crates/placement/src/cell/mod.rs
@@ -53,7 +53,7 @@
     pub owner: Option<OwnerName>,
     /// Attempts that run on it or are about to.
     pub tasks: Vec<AttemptId>,
-    claimed: Resources,
+    reserved: Resources,
     evictable: Resources,
     /// Tasks that count towards `tasks_max`. Gang tasks do not, because a gang
     /// starts as a whole or not at all.
@@ -71,12 +71,12 @@
     members: Vec<usize>,
     stale: bool,
     free: FitTree,
-    free_or_claimed: FitTree,
+    free_or_reserved: FitTree,
     free_after_eviction: FitTree,
     free_generation: u64,
     capacity: Resources,
-    used: Resources,
-    claimed: Resources,
+    allocated: Resources,
+    reserved: Resources,
     quota: Option<Resources>,
 }
 
@@ -86,7 +86,7 @@
     /// Only free capacity.
     Free,
     /// Free capacity and what is claimed for a reservation.
-    FreeOrClaimed,
+    FreeOrReserved,
 }
 
 /// A task that runs, or is about to.
@@ -109,11 +109,11 @@
     /// Capacity that is allocated for it; may be an estimate from past usage.
     pub demand: Resources,
     /// Peak of the usage observed so far.
-    pub used: Resources,
+    pub peak_usage: Resources,
     /// When it was placed, or adopted from its worker's report.
     pub started_ms: UnixMs,
     /// Whether it uses capacity that is claimed for a reservation.
-    pub uses_claimed: bool,
+    pub uses_reserved: bool,
 }
 
 impl Running {
@@ -125,7 +125,7 @@
     }
 
     fn footprint(&self) -> Resources {
-        self.demand.max(&self.used)
+        self.demand.max(&self.peak_usage)
     }
 }
 
@@ -158,7 +158,7 @@
             allocated: Resources::ZERO,
             owner: None,
             tasks: Vec::new(),
-            claimed: Resources::ZERO,
+            reserved: Resources::ZERO,
             evictable: Resources::ZERO,
             counted_tasks: 0,
             serving: false,
@@ -271,26 +271,26 @@
             return;
         };
         self.update_totals(index, &running, false);
-        running.used = running.used.max(used);
+        running.peak_usage = running.peak_usage.max(used);
         self.update_totals(index, &running, true);
         self.running.insert(attempt, running);
         self.refresh(index);
     }
 
     /// Claims capacity of a worker for a reservation.
-    pub fn claim(&mut self, index: usize, need: &Resources) {
-        self.workers[index].claimed = self.workers[index].claimed.plus(need);
+    pub fn reserve(&mut self, index: usize, demand: &Resources) {
+        self.workers[index].reserved = self.workers[index].reserved.plus(demand);
         if let Some(pool) = self.pool_of(index) {
-            pool.claimed = pool.claimed.plus(need);
+            pool.reserved = pool.reserved.plus(demand);
         }
         self.refresh(index);
     }
 
     /// Releases claimed capacity.
-    pub fn unclaim(&mut self, index: usize, need: &Resources) {
-        self.workers[index].claimed = self.workers[index].claimed.minus(need);
+    pub fn release_reserved(&mut self, index: usize, demand: &Resources) {
+        self.workers[index].reserved = self.workers[index].reserved.minus(demand);
         if let Some(pool) = self.pool_of(index) {
-            pool.claimed = pool.claimed.minus(need);
+            pool.reserved = pool.reserved.minus(demand);
         }
         self.refresh(index);
     }
@@ -350,7 +350,7 @@
     pub fn usage(&self, owner: &OwnerName) -> (Resources, Resources) {
         self.pools
             .get(owner)
-            .map_or((Resources::ZERO, Resources::ZERO), |pool| (pool.capacity, pool.used))
+            .map_or((Resources::ZERO, Resources::ZERO), |pool| (pool.capacity, pool.allocated))
     }
 
     /// Capacity that an owner's tasks may use here; `None` is no limit.
@@ -380,18 +380,18 @@
     }
 
     /// Whether a serving worker of this owner would fit this demand if it were empty.
-    pub fn could_fit(&self, owner: &OwnerName, need: &Resources) -> bool {
+    pub fn could_fit(&self, owner: &OwnerName, demand: &Resources) -> bool {
         let Some(pool) = self.pools.get(owner) else {
             return false;
         };
         pool.members.iter().any(|index| {
             let info = &self.workers[*index];
-            info.serving && info.capacity.holds(need)
+            info.serving && info.capacity.holds(demand)
         })
     }
 
     /// Whether the serving workers of this owner would fit this many tasks if they were empty.
-    pub fn could_fit_all(&self, owner: &OwnerName, need: &Resources, tasks: usize) -> bool {
+    pub fn could_fit_all(&self, owner: &OwnerName, demand: &Resources, tasks: usize) -> bool {
         let Some(pool) = self.pools.get(owner) else {
             return false;
         };
@@ -399,7 +399,7 @@
         for index in &pool.members {
             let info = &self.workers[*index];
             if info.serving {
-                fitting_tasks += info.capacity.fit_count(need);
+                fitting_tasks += info.capacity.fit_count(demand);
             }
         }
         fitting_tasks >= tasks as u64
@@ -432,7 +432,7 @@
                 if added { info.counted_tasks + 1 } else { info.counted_tasks.saturating_sub(1) };
         }
         if let Some(pool) = self.pools.get_mut(&running.owner) {
-            pool.used = adjust(&pool.used);
+            pool.allocated = adjust(&pool.allocated);
             if !added {
                 pool.free_generation += 1;
             }
@@ -493,7 +493,7 @@
             FitTree::new(&capacities)
         };
         pool.free = tree(WorkerInfo::free);
-        pool.free_or_claimed = tree(WorkerInfo::free_or_claimed);
+        pool.free_or_reserved = tree(WorkerInfo::free_or_reserved);
         pool.free_after_eviction = tree(WorkerInfo::free_after_eviction);
         pool.capacity = capacity;
         pool.free_generation += 1;
@@ -501,8 +501,8 @@
 
     fn refresh(&mut self, index: usize) {
         let info = &self.workers[index];
-        let (free, free_or_claimed, free_after_eviction) =
-            (info.free(), info.free_or_claimed(), info.free_after_eviction());
+        let (free, free_or_reserved, free_after_eviction) =
+            (info.free(), info.free_or_reserved(), info.free_after_eviction());
         let position = info.position;
         let Some(pool) = self.pool_of(index) else {
             return;
@@ -515,7 +515,7 @@
             pool.free_generation += 1;
         }
         pool.free.set(position, free);
-        pool.free_or_claimed.set(position, free_or_claimed);
+        pool.free_or_reserved.set(position, free_or_reserved);
         pool.free_after_eviction.set(position, free_after_eviction);
     }
 }
@@ -523,11 +523,11 @@
 impl WorkerInfo {
     /// Capacity available to new work.
     pub fn free(&self) -> Resources {
-        self.free_or_claimed().minus(&self.claimed)
+        self.free_or_reserved().minus(&self.reserved)
     }
 
     /// Capacity available to new work, including what is claimed for a reservation.
-    pub fn free_or_claimed(&self) -> Resources {
+    pub fn free_or_reserved(&self) -> Resources {
         if !self.can_start_task() {
             return Resources::ZERO;
         }
@@ -557,14 +557,14 @@
         self.capacity.plus(&self.evictable).minus(&self.foreign).minus(&self.allocated)
     }
 
-    fn leftover_cost(&self, free: &Resources, need: &Resources) -> f64 {
-        let leftover = free.minus(need);
+    fn leftover_cost(&self, free: &Resources, demand: &Resources) -> f64 {
+        let leftover = free.minus(demand);
         let fraction = |part: u64, whole: u64| {
             if whole == 0 { 0.0 } else { part as f64 / whole as f64 }
         };
         let cost = fraction(leftover.cpu_millis, self.capacity.cpu_millis)
             + fraction(leftover.memory_bytes, self.capacity.memory_bytes);
-        let idles_accelerators = need.accelerators == 0 && leftover.accelerators > 0;
+        let idles_accelerators = demand.accelerators == 0 && leftover.accelerators > 0;
         if idles_accelerators { cost + IDLE_ACCELERATOR_COST } else { cost }
     }
 }
--- a/crates/placement/src/cell/search.rs
+++ b/crates/placement/src/cell/search.rs
@@ -21,25 +21,25 @@
     pub fn find_packed(
         &mut self,
         owner: &OwnerName,
-        need: &Resources,
+        demand: &Resources,
         view: CapacityView,
     ) -> Option<usize> {
         self.rebuild_if_stale(owner);
         let pool = self.pools.get(owner)?;
         let tree = match view {
             CapacityView::Free => &pool.free,
-            CapacityView::FreeOrClaimed if pool.claimed.is_zero() => return None,
-            CapacityView::FreeOrClaimed => &pool.free_or_claimed,
+            CapacityView::FreeOrReserved if pool.reserved.is_zero() => return None,
+            CapacityView::FreeOrReserved => &pool.free_or_reserved,
         };
         let mut best = None;
         let mut start = 0;
         for _ in 0..CANDIDATES_MAX {
-            let Some(position) = tree.first_fit_from(start, need) else {
+            let Some(position) = tree.first_fit_from(start, demand) else {
                 break;
             };
             start = position + 1;
             let index = pool.members[position];
-            let cost = self.workers[index].leftover_cost(&tree.get(position), need);
+            let cost = self.workers[index].leftover_cost(&tree.get(position), demand);
             if best.is_none_or(|(best_cost, _)| cost < best_cost) {
                 best = Some((cost, index));
             }
@@ -52,14 +52,14 @@
     pub fn find_spread(
         &mut self,
         owner: &OwnerName,
-        need: &Resources,
+        demand: &Resources,
         attempt: AttemptId,
     ) -> Option<usize> {
         self.rebuild_if_stale(owner);
         let pool = self.pools.get(owner)?;
         let start = hash_attempt(attempt) as usize % pool.members.len().max(1);
         let mut best: Option<(usize, usize, usize)> = None;
-        for position in pool.free.search_cyclic(start, need, SPREAD_CANDIDATES_MAX) {
+        for position in pool.free.search_cyclic(start, demand, SPREAD_CANDIDATES_MAX) {
             let index = pool.members[position];
             let (on_worker, on_rack) = self.count_siblings(pool, index, attempt);
             if best.is_none_or(|(best_rack, best_worker, _)| {
@@ -78,7 +78,7 @@
     pub fn find_with_eviction(
         &mut self,
         owner: &OwnerName,
-        need: &Resources,
+        demand: &Resources,
         now_ms: UnixMs,
         seed: AttemptId,
     ) -> Option<(usize, Vec<AttemptId>)> {
@@ -86,9 +86,9 @@
         let pool = self.pools.get(owner)?;
         let mut best: Option<(f64, usize, Vec<AttemptId>)> = None;
         let start = hash_attempt(seed) as usize % pool.members.len().max(1);
-        for position in pool.free_after_eviction.search_cyclic(start, need, CANDIDATES_MAX) {
+        for position in pool.free_after_eviction.search_cyclic(start, demand, CANDIDATES_MAX) {
             let index = pool.members[position];
-            let Some((cost, victims)) = self.victims(index, need, now_ms) else {
+            let Some((cost, victims)) = self.victims(index, demand, now_ms) else {
                 continue;
             };
             if best.as_ref().is_none_or(|(best_cost, _, _)| cost < *best_cost) {
@@ -98,19 +98,19 @@
         best.map(|(_, index, victims)| (index, victims))
     }
 
-    /// Tasks to evict from one worker so that `need` fits, least urgent and least lost
+    /// Tasks to evict from one worker so that `demand` fits, least urgent and least lost
     /// work first, and the work lost; `None` if evicting all of them is not enough.
     pub fn victims(
         &self,
         index: usize,
-        need: &Resources,
+        demand: &Resources,
         now_ms: UnixMs,
     ) -> Option<(f64, Vec<AttemptId>)> {
         let info = &self.workers[index];
         let usable = info.capacity.minus(&info.foreign);
         // More may be allocated than the worker has while a stop is still on its way.
         // If that were treated as just zero free, the same capacity would be given away twice.
-        let mut in_use = info.allocated.plus(need);
+        let mut in_use = info.allocated.plus(demand);
         let mut candidates = Vec::new();
         for attempt in &info.tasks {
             let Some(running) = self.running.get(attempt) else {
--- a/crates/placement/src/health.rs
+++ b/crates/placement/src/health.rs
@@ -60,9 +60,9 @@
 
 /// Consequence of a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum HealthChange {
     /// There is too little evidence against either side.
-    Inconclusive,
+    Unchanged,
     /// The worker gets no new tasks until its quarantine ends.
     WorkerQuarantined,
     /// No tasks of the entry start until its hold-back ends.
@@ -91,7 +91,7 @@
         now_ms: UnixMs,
         worker: &WorkerId,
         entry: &EntryName,
-    ) -> Verdict {
+    ) -> HealthChange {
         let worker_health = self.workers.entry(worker.clone()).or_default();
         worker_health.failed_entries.insert(entry.clone());
         worker_health.failures_in_row += 1;
@@ -100,7 +100,7 @@
             && !self.fails_elsewhere(worker, entry);
         if many_entries_failed || many_failures_only_here {
             self.quarantine(now_ms, worker);
-            return Verdict::WorkerQuarantined;
+            return HealthChange::WorkerQuarantined;
         }
         let is_proven = self.workers.get(worker).is_some_and(|health| health.proven);
         let entry_health = self.entries.entry(entry.clone()).or_default();
@@ -113,9 +113,9 @@
             entry_health.hold_backs += 1;
             entry_health.failed_workers.clear();
             entry_health.failures_in_row = 0;
-            return Verdict::EntryHeldBack;
+            return HealthChange::EntryHeldBack;
         }
-        Verdict::Inconclusive
+        HealthChange::Unchanged
     }
 
     /// End of a worker's quarantine, or `None` if it is not in quarantine.
--- a/crates/placement/src/reservation.rs
+++ b/crates/placement/src/reservation.rs
@@ -23,14 +23,14 @@
     /// Number of tasks that must start together; 1 unless the job is a gang.
     pub tasks: usize,
     /// Demand of one task.
-    pub need: Resources,
+    pub demand: Resources,
     /// One worker for each task whose capacity is claimed; a worker may occur repeatedly.
-    pub claims: Vec<WorkerId>,
+    pub reserved_workers: Vec<WorkerId>,
 }
 
 impl Reservation {
     /// Whether capacity is claimed for every task.
     pub fn is_complete(&self) -> bool {
-        self.claims.len() >= self.tasks
+        self.reserved_workers.len() >= self.tasks
     }
 }
--- a/crates/placement/src/scheduler/mod.rs
+++ b/crates/placement/src/scheduler/mod.rs
@@ -31,8 +31,8 @@
 use crate::cell::Cell;
 use crate::cell::Running;
 use crate::health::Health;
+use crate::health::HealthChange;
 use crate::health::PROVEN_AFTER_MS;
-use crate::health::Verdict;
 use crate::queue::EntryQueue;
 use crate::queue::Queue;
 use crate::queue::WaitingJob;
@@ -148,7 +148,7 @@
     running_max: HashMap<EntryName, u32>,
     reservations: BTreeMap<OwnerName, Reservation>,
     /// Tasks and the time at which each proves its worker if it is still running.
-    unproven_tasks: Vec<(UnixMs, AttemptId)>,
+    pending_successes: Vec<(UnixMs, AttemptId)>,
     /// Workers and the time at which their quarantine or probation ends.
     health_rechecks: Vec<(UnixMs, WorkerId)>,
 }
@@ -168,7 +168,7 @@
 
     /// Removes a worker and returns its tasks, which are no longer counted here.
     pub fn remove_worker(&mut self, worker: &WorkerId) -> Vec<AttemptId> {
-        self.drop_claims_on(worker);
+        self.drop_reserved_on(worker);
         self.cell.remove_worker(worker)
     }
 
@@ -176,7 +176,7 @@
     pub fn set_target(&mut self, worker: &WorkerId, target: Option<&Target>) {
         let serving = target.is_some_and(|target| target.state == TargetState::Serving);
         if !serving {
-            self.drop_claims_on(worker);
+            self.drop_reserved_on(worker);
         }
         self.cell.set_target(worker, target.map(|target| &target.owner), serving);
     }
@@ -205,9 +205,9 @@
     }
 
     /// Adds a task that is already running according to its worker's report.
-    pub fn adopt(&mut self, attempt: AttemptId, running: Running) {
+    pub fn add_running(&mut self, attempt: AttemptId, running: Running) {
         if self.cell.running(attempt).is_none_or(|known| known.worker != running.worker) {
-            self.unproven_tasks.push((running.started_ms + PROVEN_AFTER_MS, attempt));
+            self.pending_successes.push((running.started_ms + PROVEN_AFTER_MS, attempt));
             self.cell.add(attempt, running);
         }
     }
@@ -227,33 +227,38 @@
         worker: &WorkerId,
         attempt: AttemptId,
         end: TaskEnd,
-    ) -> Verdict {
+    ) -> HealthChange {
         if self.cell.running(attempt).is_none_or(|running| running.worker != *worker) {
-            return Verdict::Inconclusive;
+            return HealthChange::Unchanged;
         }
         let Some(running) = self.cell.remove(attempt) else {
-            return Verdict::Inconclusive;
+            return HealthChange::Unchanged;
         };
-        let mut verdict = Verdict::Inconclusive;
+        let mut health_change = HealthChange::Unchanged;
         match end {
             TaskEnd::Succeeded => {
                 self.health.record_success(&running.worker, &running.entry);
-                self.usage.record(&running.entry, attempt.job, &running.declared, &running.used);
+                self.usage.record(
+                    &running.entry,
+                    attempt.job,
+                    &running.declared,
+                    &running.peak_usage,
+                );
                 let ran_ms = now_ms.saturating_sub(running.started_ms);
                 self.usage.record_run(&running.entry, ran_ms);
             }
             TaskEnd::Failed => {
-                verdict = self.health.record_failure(now_ms, &running.worker, &running.entry);
-                match verdict {
-                    Verdict::WorkerQuarantined => self.counters.quarantines += 1,
-                    Verdict::EntryHeldBack => self.counters.held_back += 1,
-                    Verdict::Inconclusive => {}
+                health_change = self.health.record_failure(now_ms, &running.worker, &running.entry);
+                match health_change {
+                    HealthChange::WorkerQuarantined => self.counters.quarantines += 1,
+                    HealthChange::EntryHeldBack => self.counters.held_back += 1,
+                    HealthChange::Unchanged => {}
                 }
             }
             TaskEnd::Stopped => {}
         }
         self.apply_health(now_ms, &running.worker);
-        verdict
+        health_change
     }
 
     /// Records the observed usage of a running task. If its worker is overcommitted,
@@ -345,8 +350,8 @@
                 waiting.entry
             ));
         }
-        let need = self.demand(&waiting);
-        if !self.within_quota(&waiting, &need) {
+        let demand = self.demand(&waiting);
+        if !self.within_quota(&waiting, &demand) {
             reasons.push(format!("owner {} holds all its quota here", waiting.owner));
         }
         if self.is_at_running_max(&waiting.entry) {
@@ -357,16 +362,16 @@
             ));
         }
         let free = self.cell.largest_free(&waiting.owner);
-        if let Some(lacking) = free.first_shortage(&need) {
+        if let Some(lacking) = free.first_shortage(&demand) {
             reasons.push(format!("no worker of {} has enough free {lacking} now", waiting.owner));
-        } else if self.cell.find_packed(&waiting.owner, &need, CapacityView::Free).is_none() {
+        } else if self.cell.find_packed(&waiting.owner, &demand, CapacityView::Free).is_none() {
             reasons.push("no single worker has all of it free now".to_owned());
         }
         if let Some(reservation) = self.reservations.get(&waiting.owner)
             && reservation.job == job
         {
-            let (claimed, total) = (reservation.claims.len(), reservation.tasks);
-            reasons.push(format!("room is kept for {claimed} of its {total} tasks"));
+            let (reserved, total) = (reservation.reserved_workers.len(), reservation.tasks);
+            reasons.push(format!("room is kept for {reserved} of its {total} tasks"));
         }
         if reasons.is_empty() {
             reasons.push("it is next".to_owned());
--- a/crates/placement/src/scheduler/place.rs
+++ b/crates/placement/src/scheduler/place.rs
@@ -83,11 +83,11 @@
                 self.cell.find_packed(&job.owner, &demand, CapacityView::Free)
             }
         };
-        let may_use_claimed =
+        let may_use_reserved =
             || job.class == Class::Batch && job.execution == Execution::Idempotent;
         let found = match found {
-            None if may_use_claimed() => {
-                self.cell.find_packed(&job.owner, &demand, CapacityView::FreeOrClaimed)
+            None if may_use_reserved() => {
+                self.cell.find_packed(&job.owner, &demand, CapacityView::FreeOrReserved)
             }
             found => found,
         };
@@ -134,13 +134,13 @@
             urgency: job.urgency,
             declared: job.demand,
             demand: placed.demand,
-            used: Resources::ZERO,
+            peak_usage: Resources::ZERO,
             started_ms: now_ms,
-            uses_claimed: false,
+            uses_reserved: false,
         };
         self.cell.add(placed.attempt, running);
         self.counters.placed += 1;
-        self.unproven_tasks.push((now_ms + PROVEN_AFTER_MS, placed.attempt));
+        self.pending_successes.push((now_ms + PROVEN_AFTER_MS, placed.attempt));
         self.apply_health(now_ms, &placed.worker);
         victims
     }
--- a/crates/placement/src/scheduler/reserve.rs
+++ b/crates/placement/src/scheduler/reserve.rs
@@ -21,15 +21,16 @@
         if waited_ms < self.policy.reserve_after_ms || self.reservations.contains_key(&job.owner) {
             return;
         }
-        let need = self.demand(job);
+        let demand = self.demand(job);
         let tasks = if job.class == Class::Gang { job.tasks.len() } else { 1 };
         // A gang that is too large for these workers gathers capacity at several
         // daemons; a reservation here would only get in the way of other jobs.
-        if !self.cell.could_fit_all(&job.owner, &need, tasks) {
+        if !self.cell.could_fit_all(&job.owner, &demand, tasks) {
             return;
         }
         let until_ms = now_ms + self.policy.reserve_ms;
-        let reservation = Reservation { job: job.job, until_ms, tasks, need, claims: Vec::new() };
+        let reservation =
+            Reservation { job: job.job, until_ms, tasks, demand, reserved_workers: Vec::new() };
         self.reservations.insert(job.owner.clone(), reservation);
         self.counters.reservations += 1;
     }
@@ -43,25 +44,25 @@
                 continue;
             };
             let Some(job) = self.queue.get(reservation.job).cloned() else {
-                self.release_claims(&reservation);
+                self.release_reservation(&reservation);
                 continue;
             };
             while !reservation.is_complete() {
                 let Some(index) =
-                    self.cell.find_packed(&owner, &reservation.need, CapacityView::Free)
+                    self.cell.find_packed(&owner, &reservation.demand, CapacityView::Free)
                 else {
                     break;
                 };
-                self.cell.claim(index, &reservation.need);
-                reservation.claims.push(self.cell.worker_at(index).worker.clone());
+                self.cell.reserve(index, &reservation.demand);
+                reservation.reserved_workers.push(self.cell.worker_at(index).worker.clone());
             }
             if reservation.is_complete() {
-                self.release_claims(&reservation);
+                self.release_reservation(&reservation);
                 self.start_reserved(now_ms, &job, &reservation, decisions);
                 continue;
             }
             if now_ms >= reservation.until_ms {
-                self.release_claims(&reservation);
+                self.release_reservation(&reservation);
                 self.queue.defer(reservation.job, now_ms + self.policy.reserve_ms);
                 continue;
             }
@@ -78,7 +79,7 @@
     ) {
         let mut tasks = Vec::new();
         let mut victims = Vec::new();
-        for (attempt, worker) in job.tasks.iter().zip(&reservation.claims) {
+        for (attempt, worker) in job.tasks.iter().zip(&reservation.reserved_workers) {
             let Some(index) = self.cell.index_of(worker) else {
                 break;
             };
@@ -86,11 +87,11 @@
                 break;
             }
             // Evicts work that uses the claimed capacity.
-            let Some((_, evict)) = self.cell.victims(index, &reservation.need, now_ms) else {
+            let Some((_, evict)) = self.cell.victims(index, &reservation.demand, now_ms) else {
                 break;
             };
             let worker = worker.clone();
-            let placed = Placed { attempt: *attempt, worker, demand: reservation.need, evict };
+            let placed = Placed { attempt: *attempt, worker, demand: reservation.demand, evict };
             victims.extend(self.allocate(now_ms, job, &placed));
             tasks.push(placed);
         }
@@ -102,10 +103,10 @@
         decisions.push(Decision::Start { job: job.job, tasks });
     }
 
-    pub(super) fn release_claims(&mut self, reservation: &Reservation) {
-        for worker in &reservation.claims {
+    pub(super) fn release_reservation(&mut self, reservation: &Reservation) {
+        for worker in &reservation.reserved_workers {
             if let Some(index) = self.cell.index_of(worker) {
-                self.cell.unclaim(index, &reservation.need);
+                self.cell.release_reserved(index, &reservation.demand);
             }
         }
     }
@@ -116,19 +117,19 @@
             return;
         };
         if let Some(reservation) = self.reservations.remove(&owner) {
-            self.release_claims(&reservation);
+            self.release_reservation(&reservation);
         }
     }
 
-    pub(super) fn drop_claims_on(&mut self, worker: &WorkerId) {
+    pub(super) fn drop_reserved_on(&mut self, worker: &WorkerId) {
         let Some(index) = self.cell.index_of(worker) else {
             return;
         };
         for reservation in self.reservations.values_mut() {
-            let before = reservation.claims.len();
-            reservation.claims.retain(|claimed| claimed != worker);
-            for _ in reservation.claims.len()..before {
-                self.cell.unclaim(index, &reservation.need);
+            let before = reservation.reserved_workers.len();
+            reservation.reserved_workers.retain(|reserved| reserved != worker);
+            for _ in reservation.reserved_workers.len()..before {
+                self.cell.release_reserved(index, &reservation.demand);
             }
         }
     }
--- a/crates/placement/src/scheduler/worker_health.rs
+++ b/crates/placement/src/scheduler/worker_health.rs
@@ -10,7 +10,7 @@
     /// probations that are over.
     pub(super) fn update_health(&mut self, now_ms: UnixMs) {
         let mut due = Vec::new();
-        self.unproven_tasks.retain(|(proven_ms, attempt)| {
+        self.pending_successes.retain(|(proven_ms, attempt)| {
             if *proven_ms <= now_ms {
                 due.push(*attempt);
             }
--- a/crates/placement/src/tree.rs
+++ b/crates/placement/src/tree.rs
@@ -49,23 +49,23 @@
         self.nodes.get(1).copied().unwrap_or_default()
     }
 
-    /// The first position at or after `start` where `need` fits.
-    pub fn first_fit_from(&self, start: usize, need: &Resources) -> Option<usize> {
+    /// The first position at or after `start` where `demand` fits.
+    pub fn first_fit_from(&self, start: usize, demand: &Resources) -> Option<usize> {
         if self.leaves == 0 {
             return None;
         }
-        self.find(1, 0, self.leaves, start, need)
+        self.find(1, 0, self.leaves, start, demand)
     }
 
-    /// Positions where `need` fits, from `start` to the end and then from 0. The search
+    /// Positions where `demand` fits, from `start` to the end and then from 0. The search
     /// makes at most `lookups` lookups, one of which may go to the wrap-around.
     pub fn search_cyclic<'a>(
         &'a self,
         start: usize,
-        need: &'a Resources,
+        demand: &'a Resources,
         lookups: usize,
     ) -> CyclicSearch<'a> {
-        CyclicSearch { tree: self, need, from: start, lookups, wrapped: false }
+        CyclicSearch { tree: self, demand, from: start, lookups, wrapped: false }
     }
 
     fn find(
@@ -74,17 +74,17 @@
         low: usize,
         width: usize,
         start: usize,
-        need: &Resources,
+        demand: &Resources,
     ) -> Option<usize> {
-        if low + width <= start || !self.nodes[node].holds(need) {
+        if low + width <= start || !self.nodes[node].holds(demand) {
             return None;
         }
         if width == 1 {
             return Some(low);
         }
         let half = width / 2;
-        let left = self.find(node * 2, low, half, start, need);
-        left.or_else(|| self.find(node * 2 + 1, low + half, half, start, need))
+        let left = self.find(node * 2, low, half, start, demand);
+        left.or_else(|| self.find(node * 2 + 1, low + half, half, start, demand))
     }
 }
 
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug)]
 pub struct CyclicSearch<'a> {
     tree: &'a FitTree,
-    need: &'a Resources,
+    demand: &'a Resources,
     from: usize,
     lookups: usize,
     wrapped: bool,
@@ -104,7 +104,7 @@
     fn next(&mut self) -> Option<usize> {
         while self.lookups > 0 {
             self.lookups -= 1;
-            if let Some(position) = self.tree.first_fit_from(self.from, self.need) {
+            if let Some(position) = self.tree.first_fit_from(self.from, self.demand) {
                 self.from = position + 1;
                 return Some(position);
             }
--- a/crates/routing/src/minions.rs
+++ b/crates/routing/src/minions.rs
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
     /// The minion answered, with success or with an error.
-    Answered,
+    NoFailure,
     /// No answer arrived, or no connection was made.
     Failed,
     /// The minion refused the request because it had no free slot.
@@ -170,7 +170,7 @@
         };
         state.busy = state.busy.saturating_sub(1);
         match end {
-            RequestEnd::Answered => {
+            RequestEnd::NoFailure => {
                 state.failures = 0;
                 state.open_until_ms = 0;
             }
--- a/crates/routing/tests/minions.rs
+++ b/crates/routing/tests/minions.rs
@@ -73,7 +73,7 @@
         busy: 0,
     }]);
     let retried = minions.pick(1_500, "sahay", &owner).expect("the minion is tried again");
-    minions.release(1_500, &retried.minion, RequestEnd::Answered);
+    minions.release(1_500, &retried.minion, RequestEnd::NoFailure);
     assert!(minions.pick(1_500, "sahay", &owner).is_some());
 }
 
