--- a/crates/engine/src/catalogue.rs
+++ b/crates/engine/src/catalogue.rs
@@ -238,7 +238,7 @@
         let serving = self.catalogue.targets().filter(|target| target.serves(owner)).count();
         let mut reported = self.workers_serving(owner);
         let zone_peers = self.members.live(self.now_ms).map(|member| &member.summary);
-        let other_zones = self.zones.values().map(|zone| &zone.news.summary);
+        let other_zones = self.zones.values().map(|zone| &zone.update.summary);
         for summary in zone_peers.chain(other_zones) {
             for entry in summary.owners.iter().filter(|entry| entry.owner == *owner) {
                 if entry.largest.holds(demand) {
--- a/crates/engine/src/dump.rs
+++ b/crates/engine/src/dump.rs
@@ -207,16 +207,16 @@
 
     fn dump_workers(&self) -> Vec<WorkerDump> {
         let mut workers = Vec::new();
-        for (worker, holding) in self.leases.all() {
+        for (worker, lease) in self.leases.all() {
             let worker_info = self.scheduler.cell.worker_info(worker);
-            let lease_left_ms = match holding.state {
+            let lease_left_ms = match lease.state {
                 LeaseState::Mine { until_ms } => Some(until_ms.saturating_sub(self.now_ms)),
                 LeaseState::Other => None,
             };
             workers.push(WorkerDump {
                 worker: worker.clone(),
                 lease_left_ms,
-                token: holding.token,
+                token: lease.token,
                 capacity: worker_info.map_or(Resources::ZERO, |worker_info| worker_info.capacity),
                 free: worker_info
                     .map_or(Resources::ZERO, stoatwell_placement::cell::WorkerInfo::free),
--- a/crates/engine/src/gangs.rs
+++ b/crates/engine/src/gangs.rs
@@ -69,7 +69,7 @@
     pub(crate) fn release_gang(&mut self, id: JobId, gang: Gang) {
         let mut by_holder: BTreeMap<DaemonId, Vec<AttemptId>> = BTreeMap::new();
         for (attempt, _, _) in &gang.placed {
-            match self.remote.peer_reservations.remove(attempt) {
+            match self.remote.reservations_at_peers.remove(attempt) {
                 Some((holder, _)) => by_holder.entry(holder).or_default().push(*attempt),
                 None => self.scheduler.release_unstarted(self.now_ms, *attempt),
             }
--- a/crates/engine/src/inquiry.rs
+++ b/crates/engine/src/inquiry.rs
@@ -117,7 +117,7 @@
             return Some(Observation::Forgotten);
         }
         // Releasing its capacity and its reservation ensures that it cannot start later.
-        self.remote.remove_grant(attempt);
+        self.remote.remove_reservation_for_peer(attempt);
         self.release_unstarted(attempt);
         Some(Observation::Absent)
     }
--- a/crates/engine/src/jobs.rs
+++ b/crates/engine/src/jobs.rs
@@ -214,7 +214,7 @@
         let mut unsent = Vec::new();
         for (worker, start) in starts {
             let attempt = start.attempt;
-            if self.remote.is_reserved(attempt) {
+            if self.remote.is_reserved_at_peer(attempt) {
                 self.remote.queue_start(worker, start);
             } else if !self.queue_start(&worker, start) {
                 unsent.push((attempt, worker));
--- a/crates/engine/src/lookup.rs
+++ b/crates/engine/src/lookup.rs
@@ -184,7 +184,11 @@
     }
 
     /// Returns a peer's answer about a job to the caller.
-    pub(crate) fn relay_reply(&mut self, ticket: Ticket, reply: Result<PeerReply, CallError>) {
+    pub(crate) fn answer_with_peer_reply(
+        &mut self,
+        ticket: Ticket,
+        reply: Result<PeerReply, CallError>,
+    ) {
         let result = match reply {
             Ok(PeerReply::Job(result)) => result,
             Ok(_) => Err(Failure::new(Code::Internal)),
--- a/crates/engine/src/ops.rs
+++ b/crates/engine/src/ops.rs
@@ -53,9 +53,9 @@
     /// Scans open jobs for those without a live coordinator.
     SweepOpen,
     /// Reads the records of jobs to take over.
-    SweepRead,
+    SweepTakeovers,
     /// Scans for finished jobs whose retention time is over.
-    SweepDone,
+    SweepFinished,
     /// Reads the records of jobs that have tasks here but no known coordinator.
     SweepOrphans(Vec<JobId>),
     /// Deletes the stored body of a job.
@@ -130,10 +130,10 @@
     }
 
     pub(crate) fn call_worker(&mut self, purpose: WorkerOp, worker: &WorkerId, call: WorkerCall) {
-        let Some(holding) = self.leases.get(worker) else {
+        let Some(lease) = self.leases.get(worker) else {
             return;
         };
-        let address = holding.address.clone();
+        let address = lease.address.clone();
         let op = self.next_op();
         self.ops.worker.insert(op, purpose);
         self.effects.push(Effect::Worker { op, worker: worker.clone(), address, call });
--- a/crates/engine/src/peers.rs
+++ b/crates/engine/src/peers.rs
@@ -1,8 +1,10 @@
 //! Heartbeats between daemons, calls from peers, and the instance list.
 //!
-//! Within a zone, every daemon sends heartbeats to every other. One relay per zone
-//! exchanges a short summary with the relays of the other zones and forwards only
-//! changes to its own zone, so that little traffic crosses the slow and paid links.
+//! Within a zone, every daemon sends heartbeats to every other one. One daemon of each
+//! zone is the zone's relay. Only the relays call other zones: they exchange updates, each
+//! with a short summary of one zone. A relay passes an update on to the daemons of its own
+//! zone when it changed significantly or has not been sent for a while. This keeps the
+//! traffic on the slow and paid links between zones small.
 
 use std::collections::HashMap;
 
@@ -33,19 +35,20 @@
 use crate::ops::PeerOp;
 use crate::ops::StoreOp;
 
-/// Interval at which unchanged news is sent again.
-pub(crate) const NEWS_RESEND_MS: u64 = 10_000;
+/// Interval at which an unchanged summary or zone update is sent again.
+pub(crate) const UPDATE_RESEND_MS: u64 = 10_000;
 /// Approximate size of one entry of the instance list.
 pub(crate) const INSTANCE_ENTRY_BYTES: u64 = 140;
 /// Bandwidth limit for reading the instance list; a longer list is read less often.
 pub(crate) const LIST_BYTES_PER_SECOND_MAX: u64 = 4_000;
-/// News expires after this many times the `silent_after_ms` setting.
-pub(crate) const NEWS_EXPIRY_SILENCES: u64 = 4;
-/// A change of free capacity below this fraction, in thousandths, is not sent.
+/// A zone update expires this many times the `silent_after_ms` setting after the last sign
+/// of life of its zone.
+pub(crate) const UPDATE_EXPIRY_FACTOR: u64 = 4;
+/// Relative change of a free amount above which a summary is sent again, in thousandths.
 pub(crate) const SIGNIFICANT_CHANGE_PERMILLE: u64 = 125;
 
-/// The summaries that this daemon last published, and which version each receiver was
-/// sent and when, so that unchanged summaries aren't repeated.
+/// The summary and the zone update that this daemon last published. For each receiver,
+/// the version that it was sent last is kept, so that unchanged ones aren't repeated.
 #[derive(Debug, Default)]
 pub(crate) struct Announcements {
     pub(crate) summary: Summary,
@@ -53,18 +56,20 @@
     pub(crate) summary_version: u64,
     /// The version of `summary` that each peer was sent last, and when.
     pub(crate) summary_sent: HashMap<DaemonId, (u64, UnixMs)>,
-    pub(crate) zone_news: Option<ZoneUpdate>,
-    /// Number of significant changes of `zone_news`.
-    pub(crate) zone_news_version: u64,
-    /// The version of `zone_news` that each zone was sent last, and when.
-    pub(crate) zone_news_sent: HashMap<ZoneName, (u64, UnixMs)>,
+    pub(crate) zone_update: Option<ZoneUpdate>,
+    /// Number of significant changes of `zone_update`.
+    pub(crate) zone_update_version: u64,
+    /// The version of `zone_update` that each zone was sent last, and when.
+    pub(crate) zone_update_sent: HashMap<ZoneName, (u64, UnixMs)>,
 }
 
 impl Announcements {
     /// The summary, unless this daemon was sent the current version recently.
     fn summary_for(&mut self, now_ms: UnixMs, daemon: &DaemonId) -> Option<Summary> {
         let (sent_version, sent_ms) = self.summary_sent.get(daemon).copied().unwrap_or_default();
-        if sent_version == self.summary_version && sent_ms > 0 && now_ms < sent_ms + NEWS_RESEND_MS
+        if sent_version == self.summary_version
+            && sent_ms > 0
+            && now_ms < sent_ms + UPDATE_RESEND_MS
         {
             return None;
         }
@@ -76,11 +81,11 @@
 /// The state of another zone as last reported.
 #[derive(Clone, Debug)]
 pub(crate) struct ZoneState {
-    pub(crate) news: ZoneUpdate,
+    pub(crate) update: ZoneUpdate,
     pub(crate) heard_ms: UnixMs,
-    /// Number of significant changes of `news`.
+    /// Number of significant changes of `update`.
     pub(crate) version: u64,
-    /// The version that each daemon of this zone was sent last, and when.
+    /// The version that each daemon of this daemon's zone was sent last, and when.
     pub(crate) sent: HashMap<DaemonId, (u64, UnixMs)>,
 }
 
@@ -115,7 +120,7 @@
         for daemon in same_zone {
             let summary = self.announcements.summary_for(self.now_ms, &daemon);
             let beat = Heartbeat { summary, ..self.heartbeat() };
-            let news = if is_relay { self.other_zone_news_for(&daemon) } else { Vec::new() };
+            let news = if is_relay { self.other_zone_updates_for(&daemon) } else { Vec::new() };
             self.call_peer(PeerOp::Heartbeat, &daemon, PeerCall::Heartbeat { beat, news });
         }
     }
@@ -140,15 +145,15 @@
         }
     }
 
-    fn on_heartbeat(&mut self, beat: &Heartbeat, news: Vec<ZoneUpdate>) {
+    fn on_heartbeat(&mut self, beat: &Heartbeat, zone_updates: Vec<ZoneUpdate>) {
         self.members.on_heartbeat(self.now_ms, beat);
-        let newest = news.iter().map(|item| item.revision).max().unwrap_or(0);
+        let newest = zone_updates.iter().map(|update| update.revision).max().unwrap_or(0);
         if beat.revision > self.catalogue.revision() || newest > self.catalogue.revision() {
             self.fetch_catalogue_from(&beat.from.daemon);
         }
-        self.on_news(news);
-        // A heartbeat from another zone's relay shows that its zone is alive even if it
-        // carries no news.
+        self.on_zone_updates(zone_updates);
+        // A heartbeat from another zone's relay shows that the zone is alive, even if the
+        // heartbeat carries no zone update.
         if let Some(state) = self.zones.get_mut(&beat.from.zone) {
             state.heard_ms = self.now_ms;
         }
@@ -169,7 +174,7 @@
                 self.on_heartbeat(&beat, news);
                 let beat = self.heartbeat();
                 let is_other_zone = zone != self.me.zone;
-                let news = if is_other_zone { self.own_zone_news_for(&zone) } else { Vec::new() };
+                let news = if is_other_zone { self.own_zone_update_for(&zone) } else { Vec::new() };
                 PeerReply::Heartbeat { beat, news }
             }
             PeerCall::CatalogueSince { revision } => {
@@ -194,7 +199,7 @@
             PeerCall::Report { from, reports } => self.on_reports(&from, reports),
             PeerCall::Acknowledge { attempts } => self.on_acknowledge(&attempts),
             PeerCall::Adopt { jobs } => {
-                self.sweep.claim(jobs);
+                self.sweep.queue_takeovers(jobs);
                 self.sweep_tick();
                 PeerReply::Noted
             }
@@ -210,8 +215,8 @@
             (PeerOp::Heartbeat, Ok(PeerReply::Heartbeat { beat, news })) => {
                 self.on_heartbeat(&beat, news);
             }
-            (PeerOp::Catalogue, Ok(PeerReply::News(news))) => self.on_catalogue_news(news),
-            (PeerOp::ProxyReply(ticket), reply) => self.relay_reply(ticket, reply),
+            (PeerOp::Catalogue, Ok(PeerReply::News(update))) => self.on_catalogue_update(update),
+            (PeerOp::ProxyReply(ticket), reply) => self.answer_with_peer_reply(ticket, reply),
             (PeerOp::Forward { ticket, caller, key, submission, wait_ms }, reply) => {
                 self.on_forward_done(ticket, &caller, key, submission, wait_ms, reply);
             }
@@ -234,8 +239,8 @@
         }
     }
 
-    fn on_catalogue_news(&mut self, news: CatalogueUpdate) {
-        if self.catalogue.merge(news) {
+    fn on_catalogue_update(&mut self, update: CatalogueUpdate) {
+        if self.catalogue.merge(update) {
             self.announce_revision();
         }
     }
@@ -246,8 +251,9 @@
         }
         self.instance_list_pending = true;
         self.next_instance_list_ms = self.now_ms + self.settings.platform.instances_interval_ms;
-        // Only the instances of this zone are read unless work was taken over from
-        // another zone: the full list takes hundreds of kilobytes at the target size.
+        // The list of all zones takes hundreds of kilobytes at the size that the pool is
+        // built for. It is read only while jobs of this daemon have tasks in other zones,
+        // because work was taken over from there.
         let all_zones = self.has_tasks_in_other_zones();
         let zone = if all_zones { None } else { Some(self.me.zone.clone()) };
         self.call_store(StoreOp::List { all_zones: all_zones }, StoreCall::Instances { zone });
@@ -268,6 +274,7 @@
         let mut zones = HashMap::new();
         for instance in instances {
             match instance.kind {
+                // Daemons are on the platform's list as instances of the kind `Entry`.
                 InstanceKind::Entry if instance.state == InstanceState::Live => {
                     daemons.push(stoatwell_model::peer::Identity {
                         daemon: DaemonId::new(&instance.name),
@@ -306,7 +313,7 @@
             return Some(member.identity.peer_address.clone());
         }
         for state in self.zones.values() {
-            if let Some(found) = state.news.daemons.iter().find(|found| found.daemon == *daemon) {
+            if let Some(found) = state.update.daemons.iter().find(|found| found.daemon == *daemon) {
                 return Some(found.peer_address.clone());
             }
         }
@@ -324,18 +331,18 @@
         if *zone == self.me.zone {
             return self.zone_peers();
         }
-        let reported = self.zones.get(zone).into_iter().flat_map(|state| &state.news.daemons);
+        let reported = self.zones.get(zone).into_iter().flat_map(|state| &state.update.daemons);
         reported.map(|found| found.daemon.clone()).collect()
     }
 
-    /// Whether a daemon was known to be alive and no longer is. A daemon that was never
-    /// heard of may just be new.
+    /// Whether a daemon was known to be alive and no longer is. `false` for a daemon that
+    /// was never heard of, because it may just be new.
     pub(crate) fn is_silent(&self, daemon: &DaemonId) -> bool {
         let heard = self.members.get(daemon).is_some_and(|member| member.last_heartbeat_ms > 0);
         let reported = self
             .zones
             .values()
-            .any(|state| state.news.daemons.iter().any(|found| found.daemon == *daemon));
+            .any(|state| state.update.daemons.iter().any(|found| found.daemon == *daemon));
         (heard || reported) && !self.is_live(daemon)
     }
 
@@ -344,15 +351,15 @@
         if self.members.is_live(self.now_ms, daemon) {
             return true;
         }
-        let max_age_ms = self.settings.membership.silent_after_ms * NEWS_EXPIRY_SILENCES;
+        let max_age_ms = self.settings.membership.silent_after_ms * UPDATE_EXPIRY_FACTOR;
         self.zones.values().any(|state| {
             let fresh = self.now_ms < state.heard_ms + max_age_ms;
-            fresh && state.news.daemons.iter().any(|found| found.daemon == *daemon)
+            fresh && state.update.daemons.iter().any(|found| found.daemon == *daemon)
         })
     }
 
-    /// Another daemon with this much free capacity for an owner, preferring this zone,
-    /// then this region.
+    /// Another daemon that has a worker with this much free capacity for the owner. Daemons
+    /// of this zone are preferred, then those of this region.
     pub(crate) fn find_peer_with_capacity(
         &self,
         owner: &OwnerName,
@@ -367,7 +374,7 @@
         let same_zone = self.members.live_in_zone(self.now_ms, &self.me.zone);
         let same_zone =
             same_zone.filter(|member| !member.stopping && has_capacity(&member.summary));
-        // The least loaded of the candidates; a summary is seconds old at most.
+        // The least loaded candidate is chosen. The summaries are at most seconds old.
         let chosen = same_zone.min_by_key(|member| (member.summary.queued, member.summary.running));
         if let Some(member) = chosen {
             return Some(member.identity.daemon.clone());
@@ -375,9 +382,9 @@
         self.find_in_other_zone(&has_capacity, false)
     }
 
-    /// Another daemon whose minions of this group have a free slot. If the owner's
-    /// weight for control traffic exceeds the one for waiting time, only daemons of
-    /// this region are considered, since traffic between regions is paid.
+    /// Another daemon that has a free slot on a minion of this group. Traffic between
+    /// regions is paid. If the owner weighs control traffic higher than waiting time, only
+    /// daemons of this region are considered.
     pub(crate) fn find_peer_with_minions(
         &self,
         group: &str,
@@ -399,32 +406,32 @@
 
     /// Whether a zone is in another region, or has no known daemon.
     fn is_in_other_region(&self, state: &ZoneState) -> bool {
-        state.news.daemons.first().is_none_or(|daemon| daemon.region != self.me.region)
+        state.update.daemons.first().is_none_or(|daemon| daemon.region != self.me.region)
     }
 
-    /// A daemon of another zone, preferring zones of this region and then those with
-    /// the fewest queued tasks.
+    /// A daemon of another zone that has capacity. Zones of this region are preferred,
+    /// then zones with few queued tasks.
     fn find_in_other_zone(
         &self,
         has_capacity: &dyn Fn(&Summary) -> bool,
         same_region_only: bool,
     ) -> Option<DaemonId> {
-        let max_age_ms = self.settings.membership.silent_after_ms * NEWS_EXPIRY_SILENCES;
+        let max_age_ms = self.settings.membership.silent_after_ms * UPDATE_EXPIRY_FACTOR;
         let mut zones: Vec<&ZoneState> = Vec::new();
         for state in self.zones.values() {
             let fresh = self.now_ms < state.heard_ms + max_age_ms;
             if fresh
-                && has_capacity(&state.news.summary)
+                && has_capacity(&state.update.summary)
                 && !(same_region_only && self.is_in_other_region(state))
             {
                 zones.push(state);
             }
         }
         zones.sort_by_key(|state| {
-            (self.is_in_other_region(state), state.news.summary.queued, state.news.zone.clone())
+            (self.is_in_other_region(state), state.update.summary.queued, state.update.zone.clone())
         });
         let state = zones.first()?;
-        let daemons = state.news.daemons.iter().map(|found| &found.daemon);
+        let daemons = state.update.daemons.iter().map(|found| &found.daemon);
         rendezvous::select(self.me.daemon.as_str(), daemons).cloned()
     }
 }
--- a/crates/engine/src/remote.rs
+++ b/crates/engine/src/remote.rs
@@ -1,8 +1,10 @@
 //! Tasks on workers whose lease another daemon holds.
 //!
-//! The daemon that runs a job reserves capacity at a peer, records intents where
-//! needed, and then asks the peer to start the tasks. Unused reservations expire.
-//! The holder repeats its reports about the tasks until they are acknowledged.
+//! The daemon that schedules a job is its coordinator. The daemon that holds the lease on
+//! a worker is the worker's holder. If its own workers have no capacity for a job, the
+//! coordinator reserves capacity at a holder, records intents where needed, and then asks
+//! the holder to start the tasks. Unused reservations expire. The holder repeats its
+//! reports about the tasks until the coordinator acknowledges them.
 
 use std::collections::BTreeMap;
 
@@ -31,28 +33,30 @@
 const RESERVATION_TTL_MS: u64 = 10_000;
 /// Delay before a report without an acknowledgement is sent again.
 const REPORT_RETRY_MS: u64 = 5_000;
-/// Interval between searches for allocated capacity that nobody is going to use.
+/// Interval between searches for capacity that was allocated and will not be used.
 const RECLAIM_INTERVAL_MS: u64 = 2_000;
 /// Maximum number of tasks in one reservation call.
 const TASKS_PER_RESERVE_CALL: usize = 64;
 /// Maximum number of jobs for which peers are asked for capacity in one tick.
 const RESERVE_JOBS_PER_TICK: usize = 4;
-/// Minimum delay before peers are asked again for capacity for the same job; a varying
-/// part of up to the same length is added.
+/// Minimum delay before peers are asked again for capacity for the same job. A varying
+/// delay of up to the same length is added.
 const RESERVE_RETRY_MS: u64 = 1_000;
 
-/// State of tasks that run on workers of another daemon, on both sides.
+/// State of tasks whose coordinator and holder are different daemons. This daemon can be
+/// either of them.
 #[derive(Debug, Default)]
 pub(crate) struct Remote {
     /// Reservations at peers, with the holder, for tasks of this daemon's jobs.
-    pub(crate) peer_reservations: BTreeMap<AttemptId, (DaemonId, Reservation)>,
+    pub(crate) reservations_at_peers: BTreeMap<AttemptId, (DaemonId, Reservation)>,
     /// Starts that have yet to be sent, by holder.
     pub(crate) starts: BTreeMap<DaemonId, Vec<(WorkerId, Token, StartTask)>>,
     /// Reservations on workers held here for peers, with the time when they expire.
-    pub(crate) granted: BTreeMap<AttemptId, UnixMs>,
-    /// Reports without an acknowledgement, by the daemon that runs the job.
+    pub(crate) reservations_for_peers: BTreeMap<AttemptId, UnixMs>,
+    /// Reports without an acknowledgement, by coordinator.
     outbox: BTreeMap<DaemonId, BTreeMap<AttemptId, Report>>,
-    /// Jobs for which peers were asked for capacity, with the time of the next try.
+    /// Jobs for which peers were asked for capacity, with the time at which they may be
+    /// asked again.
     pub(crate) recently_requested: BTreeMap<JobId, UnixMs>,
     /// Gangs that are collecting reservations here and at peers.
     pub(crate) gangs: BTreeMap<JobId, Gang>,
@@ -78,7 +82,7 @@
 }
 
 impl Remote {
-    /// Queues a report for the daemon that runs the task.
+    /// Queues a report for the task's coordinator.
     pub(crate) fn report(
         &mut self,
         to: &DaemonId,
@@ -90,40 +94,41 @@
         self.outbox.entry(to.clone()).or_default().insert(attempt, report);
     }
 
-    pub(crate) fn is_reserved(&self, attempt: AttemptId) -> bool {
-        self.peer_reservations.contains_key(&attempt)
+    pub(crate) fn is_reserved_at_peer(&self, attempt: AttemptId) -> bool {
+        self.reservations_at_peers.contains_key(&attempt)
     }
 
     pub(crate) fn reserved_demand(&self, attempt: AttemptId) -> Option<Resources> {
-        self.peer_reservations.get(&attempt).map(|(_, reservation)| reservation.demand)
+        self.reservations_at_peers.get(&attempt).map(|(_, reservation)| reservation.demand)
     }
 
     /// Queues a start that uses a reservation at another daemon.
     pub(crate) fn queue_start(&mut self, worker: WorkerId, start: StartTask) {
-        if let Some((holder, reservation)) = self.peer_reservations.remove(&start.attempt) {
+        if let Some((holder, reservation)) = self.reservations_at_peers.remove(&start.attempt) {
             self.starts.entry(holder).or_default().push((worker, reservation.token, start));
         }
     }
 
-    /// Removes a peer's reservation here, without releasing the capacity.
-    pub(crate) fn remove_grant(&mut self, attempt: AttemptId) {
-        self.granted.remove(&attempt);
+    /// Removes the reservation of a peer on a worker held here, without releasing the
+    /// capacity.
+    pub(crate) fn remove_reservation_for_peer(&mut self, attempt: AttemptId) {
+        self.reservations_for_peers.remove(&attempt);
     }
 
     pub(crate) fn forget_job(&mut self, job: JobId) {
         self.recently_requested.remove(&job);
         self.gangs.remove(&job);
-        self.peer_reservations.retain(|attempt, _| attempt.job != job);
+        self.reservations_at_peers.retain(|attempt, _| attempt.job != job);
     }
 
-    /// Whether capacity here is reserved for an attempt, either of a peer's job or of a
-    /// gang that is still collecting reservations.
-    fn is_claimed(&self, attempt: AttemptId) -> bool {
+    /// Whether capacity on a worker held here is reserved for the attempt. Its job is either
+    /// a peer's or a gang that is still collecting reservations.
+    fn is_reserved_here(&self, attempt: AttemptId) -> bool {
         let in_open_gang = self
             .gangs
             .get(&attempt.job)
             .is_some_and(|gang| gang.placed.iter().any(|(placed, _, _)| *placed == attempt));
-        in_open_gang || self.granted.contains_key(&attempt)
+        in_open_gang || self.reservations_for_peers.contains_key(&attempt)
     }
 
     pub(crate) fn unreported(&self) -> usize {
@@ -135,7 +140,7 @@
     /// Asks other daemons of the zone for capacity for jobs that wait here.
     pub(crate) fn reserve_at_peers(&mut self) {
         let now_ms = self.now_ms;
-        self.expire_grants();
+        self.expire_reservations_for_peers();
         self.reclaim_unused_capacity();
         self.remote.recently_requested.retain(|_, until_ms| *until_ms > now_ms);
         if self.stopping || self.scheduler.queue.is_empty() {
@@ -163,15 +168,15 @@
     }
 
     fn reserve_elsewhere(&mut self, waiting: &WaitingJob) -> bool {
-        // Two gangs that each hold half of what both need would collide again and again
-        // if they retried in lockstep, so the delay is different each time.
+        // Two gangs may each hold half of what both need. If they retried at the same
+        // interval, they would collide again and again, so the delay varies.
         let seed = (waiting.job.0 as u64 ^ self.now_ms).to_le_bytes();
         let retry_ms = self.now_ms + RESERVE_RETRY_MS + xxh3_64(&seed) % RESERVE_RETRY_MS;
         self.remote.recently_requested.insert(waiting.job, retry_ms);
         let demand = self.scheduler.demand(waiting);
         if waiting.class == Class::Gang {
-            // If the whole gang could fit on the workers held here, capacity is kept for
-            // it here instead.
+            // A gang that could fit on the workers held here gets a reservation from the
+            // local scheduler instead.
             let cell = &self.scheduler.cell;
             let fits_here = cell.could_fit_all(&waiting.owner, &demand, waiting.tasks.len());
             return !fits_here && self.reserve_gang(waiting);
@@ -185,8 +190,8 @@
         let same_zone =
             same_zone.filter(|member| !member.stopping && has_capacity(&member.summary.owners));
         let candidates: Vec<&DaemonId> = same_zone.map(|member| &member.identity.daemon).collect();
-        // The candidates take turns: one with free capacity may be at a limit that its
-        // summary doesn't show.
+        // The candidates take turns. A daemon with free capacity may still refuse, because
+        // it is at a limit that its summary doesn't show.
         let rotation = (self.now_ms / RESERVE_RETRY_MS) as usize;
         let Some(holder) = candidates.get(rotation % candidates.len().max(1)).copied().cloned()
         else {
@@ -245,8 +250,9 @@
             not_before_ms: 0,
         };
         for attempt in attempts {
-            // A daemon that hasn't noticed that it lost the job may ask for an attempt
-            // that already runs here; its capacity would be allocated a second time.
+            // The caller may have lost the job to another coordinator without noticing. The
+            // attempt may then run here already, and its capacity must not be allocated a
+            // second time.
             if self.scheduler.cell.running(*attempt).is_some() {
                 break;
             }
@@ -257,7 +263,7 @@
                 self.scheduler.release_unstarted(self.now_ms, *attempt);
                 break;
             };
-            self.remote.granted.insert(*attempt, self.now_ms + RESERVATION_TTL_MS);
+            self.remote.reservations_for_peers.insert(*attempt, self.now_ms + RESERVATION_TTL_MS);
             let (worker, demand) = (placed.worker, placed.demand);
             reservations.push(Reservation { attempt: *attempt, worker, token, demand });
         }
@@ -266,16 +272,16 @@
 
     pub(crate) fn on_unreserve(&mut self, attempts: &[AttemptId]) -> PeerReply {
         for attempt in attempts {
-            if self.remote.granted.remove(attempt).is_some() {
+            if self.remote.reservations_for_peers.remove(attempt).is_some() {
                 self.release_unstarted(*attempt);
             }
         }
         PeerReply::Noted
     }
 
-    /// Releases capacity that nobody is going to use. A job may move to another daemon
-    /// after its capacity was allocated and before its tasks start; the capacity would
-    /// leak, with no other symptom than a cell that seems full.
+    /// Releases capacity that was allocated and will not be used. A job may move to another
+    /// coordinator after its capacity was allocated and before its tasks start. Without
+    /// this, the capacity would leak, with no other symptom than workers that seem full.
     pub(crate) fn reclaim_unused_capacity(&mut self) {
         if self.now_ms < self.remote.next_reclaim_ms {
             return;
@@ -287,7 +293,7 @@
                 self.held.get(&running.worker).is_some_and(|held| held.has_attempt(*attempt));
             let job = self.jobs.get(&attempt.job);
             let is_about_to_start = job.is_some_and(|job| job.machine.is_about_to_start(*attempt));
-            if !on_worker && !is_about_to_start && !self.remote.is_claimed(*attempt) {
+            if !on_worker && !is_about_to_start && !self.remote.is_reserved_here(*attempt) {
                 unused.push(*attempt);
             }
         }
@@ -296,10 +302,10 @@
         }
     }
 
-    fn expire_grants(&mut self) {
+    fn expire_reservations_for_peers(&mut self) {
         let now_ms = self.now_ms;
         let mut expired = Vec::new();
-        self.remote.granted.retain(|attempt, until_ms| {
+        self.remote.reservations_for_peers.retain(|attempt, until_ms| {
             if *until_ms <= now_ms {
                 expired.push(*attempt);
             }
@@ -319,7 +325,7 @@
     ) {
         let reservations = match reply {
             Ok(PeerReply::Reserved { reservations }) => reservations,
-            // A reservation that was made nevertheless expires.
+            // The peer may have made the reservations all the same. They expire there.
             Ok(_) | Err(_) => Vec::new(),
         };
         let mut placed = Vec::new();
@@ -330,7 +336,7 @@
                 continue;
             }
             placed.push((attempt, reservation.worker.clone(), reservation.token));
-            self.remote.peer_reservations.insert(attempt, (holder.clone(), reservation));
+            self.remote.reservations_at_peers.insert(attempt, (holder.clone(), reservation));
         }
         if let Some(gang) = self.remote.gangs.get_mut(&id) {
             gang.placed.extend(placed);
@@ -371,24 +377,25 @@
         for (worker, token, start) in tasks {
             let attempt = start.attempt;
             let coordinator = start.coordinator.clone();
-            let granted = self.remote.granted.remove(&attempt).is_some();
+            let was_reserved = self.remote.reservations_for_peers.remove(&attempt).is_some();
             let has_current_token = self.held.get(&worker).is_some_and(|held| held.token == token);
-            // The capacity of an expired reservation may be in use by another task, and
-            // an intent with another token refers to an earlier lease.
-            if granted && has_current_token && self.queue_start(&worker, start) {
+            // The start is not queued without a reservation, because another task may use
+            // the capacity by now. It is not queued with another token than the current
+            // one either, because that token belongs to an earlier lease.
+            if was_reserved && has_current_token && self.queue_start(&worker, start) {
                 continue;
             }
             if has_current_token {
                 self.notify_coordinator(attempt, &worker, &coordinator, Observation::Absent);
             }
-            if granted {
+            if was_reserved {
                 self.release_unstarted(attempt);
             }
         }
         PeerReply::Noted
     }
 
-    /// Sends the reports that are due to the daemons that run the jobs.
+    /// Sends the due reports to the coordinators.
     pub(crate) fn send_reports(&mut self) {
         let now_ms = self.now_ms;
         let mut calls = Vec::new();
@@ -413,9 +420,9 @@
             self.call_peer(PeerOp::Report { to: to.clone() }, &to, call);
         }
         let held = &self.held;
-        // Reports about tasks that now belong to another daemon, or whose worker isn't
-        // held here any more, are dropped. What the worker itself still lists is
-        // reported again to the daemon that inquires about it.
+        // A report is dropped if its task has a new coordinator, or if its worker is no
+        // longer held here. Nothing is lost: the coordinator inquires about the task, and
+        // the holder then answers with what the worker reports.
         self.remote.outbox.retain(|to, reports| {
             reports.retain(|attempt, report| {
                 let tracked = held.get(&report.worker).and_then(|held| held.tasks.get(attempt));
@@ -448,7 +455,7 @@
         PeerReply::Acknowledged { attempts, unknown }
     }
 
-    /// Whether nobody will inquire about an ended attempt again.
+    /// Whether the worker may forget an ended attempt, because no inquiry about it can follow.
     fn can_acknowledge(&self, attempt: AttemptId) -> bool {
         match self.jobs.get(&attempt.job) {
             Some(job) => {
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -185,7 +185,7 @@
             // The deadline passed while the record was being written, so nothing was sent.
             self.release_slot(request_id, RequestEnd::NoFailure);
             self.requests.remove(&request_id);
-            self.finish_request(
+            self.finish_recorded_request(
                 id,
                 not_run(Code::DeadlinePassed, "the deadline passed while its record was written"),
             );
@@ -344,7 +344,7 @@
         };
         let id = request.record.job;
         if request.is_recorded() {
-            self.finish_request(id, outcome);
+            self.finish_recorded_request(id, outcome);
             return;
         }
         let mut record = request.record;
@@ -359,7 +359,7 @@
     /// Sets the outcome of a recorded request. An accepted request's callers get it
     /// at once: if this daemon dies before the outcome is written, the minion can
     /// still report it.
-    pub(crate) fn finish_request(&mut self, id: JobId, outcome: Outcome) {
+    pub(crate) fn finish_recorded_request(&mut self, id: JobId, outcome: Outcome) {
         let now_ms = self.now_ms;
         let accept_timeout_ms = self.settings.ledger.accept_timeout_ms;
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -391,7 +391,7 @@
         }
         // The job was taken over from another daemon: its body is not here, and no
         // caller waits for the answer.
-        self.finish_request(
+        self.finish_recorded_request(
             id,
             not_run(Code::NoMinion, "the daemon that accepted it was replaced"),
         );
--- a/crates/engine/src/seal.rs
+++ b/crates/engine/src/seal.rs
@@ -21,8 +21,8 @@
 impl Engine {
     /// Handles a recorded request that got no answer: it isn't sent again, the callers
     /// are told at once that its outcome is unknown, and the minion is asked for it.
-    pub(crate) fn on_request_unanswered(&mut self, number: u64) {
-        let Some(request) = self.requests.remove(&number) else {
+    pub(crate) fn on_request_unanswered(&mut self, request_id: u64) {
+        let Some(request) = self.requests.remove(&request_id) else {
             return;
         };
         let id = request.record.job;
@@ -68,7 +68,7 @@
         if self.is_worker_gone(&intent.worker) {
             let detail = format!("worker {} of its minion is gone", intent.worker);
             let outcome = Outcome::Unknown { code: Code::OutcomeUnknown, detail };
-            return self.finish_request(id, outcome);
+            return self.finish_recorded_request(id, outcome);
         }
         let call = MinionCall::Seal { attempt };
         self.call_minion(MinionOp::Seal(id), MinionId::new(minion), address.to_owned(), call);
@@ -83,16 +83,16 @@
         }
         match reply {
             Ok(MinionReply::Answer { body }) => {
-                self.finish_request(id, Outcome::Done { answer: body });
+                self.finish_recorded_request(id, Outcome::Done { answer: body });
             }
             Ok(MinionReply::NeverStarted) => {
-                self.finish_request(
+                self.finish_recorded_request(
                     id,
                     not_run(Code::NoMinion, "the minion never got it and refuses it now"),
                 );
             }
             Ok(MinionReply::Failed { reason }) => {
-                self.finish_request(
+                self.finish_recorded_request(
                     id,
                     Outcome::Failed { code: Code::MinionFailed, detail: reason },
                 );
--- a/crates/engine/src/sweep.rs
+++ b/crates/engine/src/sweep.rs
@@ -1,5 +1,9 @@
-//! Periodic cleanup: takes over jobs of dead daemons, ends tasks of finished jobs, and
-//! removes records whose retention time is over.
+//! Periodic cleanup of jobs and tasks.
+//!
+//! A job without a live coordinator is taken over: this daemon writes itself into the
+//! job's record as its new coordinator. A task on a held worker is orphaned if no
+//! coordinator knows its job; the task is stopped if the job has finished. The records of
+//! finished jobs are removed after their retention time.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,14 +32,16 @@
 
 /// Maximum number of open rows read in one scan.
 const OPEN_ROWS_PER_SCAN: u32 = 500;
-/// Maximum number of job records read at once, for takeovers and for orphaned tasks;
-/// the rest follow in later sweeps.
+/// Maximum number of job records read at once, for takeovers and for orphaned tasks. The
+/// others are read in later sweeps.
 const TAKEOVER_BATCH: usize = 64;
 /// Maximum number of finished jobs removed at once.
 const REMOVAL_BATCH: u32 = 32;
-/// Age from which the jobs of ended tasks are checked although another daemon runs them.
+/// Time for which an ended task is kept without a look at its job's record, if another
+/// daemon coordinates the job.
 const ENDED_TASK_RETENTION_MS: UnixMs = 30_000;
-/// Time without a live daemon after which other zones scan a zone's jobs.
+/// A zone is dead if no daemon of it showed a sign of life for this long. The relays of
+/// other zones then take over its jobs.
 const ZONE_DEAD_MS: UnixMs = 60_000;
 
 /// State of the cleanup.
@@ -53,7 +59,7 @@
     /// Zone of the latest scan.
     zone: Option<ZoneName>,
     /// Jobs to take over.
-    claims: BTreeSet<JobId>,
+    takeovers: BTreeSet<JobId>,
     /// Attempts on held workers whose coordinator doesn't know the job.
     orphans: BTreeSet<AttemptId>,
 }
@@ -67,8 +73,8 @@
 
 impl Sweep {
     /// Queues jobs for takeover.
-    pub(crate) fn claim(&mut self, jobs: Vec<JobId>) {
-        self.claims.extend(jobs);
+    pub(crate) fn queue_takeovers(&mut self, jobs: Vec<JobId>) {
+        self.takeovers.extend(jobs);
     }
 
     /// Records an attempt whose coordinator doesn't know its job.
@@ -83,7 +89,7 @@
         if self.stopping || !self.is_ready() || !self.members.is_warmed_up(now_ms) {
             return;
         }
-        self.read_claims();
+        self.read_takeovers();
         if now_ms >= self.sweep.next_scan_ms && !self.sweep.scanning {
             self.sweep.next_scan_ms = now_ms + self.settings.ledger.sweep_ms;
             self.scan_open_jobs();
@@ -95,7 +101,7 @@
             self.sweep.removing = true;
             let (prefix, after) = (rows::DONE.to_owned(), String::new());
             self.call_store(
-                StoreOp::SweepDone,
+                StoreOp::SweepFinished,
                 StoreCall::Scan { prefix, after, limit: REMOVAL_BATCH },
             );
         }
@@ -116,8 +122,8 @@
         );
     }
 
-    /// The zone whose open jobs are scanned next: this one, or, on every second sweep of
-    /// the relay, a zone without live daemons.
+    /// The zone whose open jobs are scanned next. This is the daemon's own zone, but every
+    /// second scan of the relay is of a dead zone, if there is one.
     fn zone_to_scan(&self) -> ZoneName {
         let own = self.me.zone.clone();
         let now_ms = self.now_ms;
@@ -129,7 +135,6 @@
             let silent = now_ms >= heard_ms + ZONE_DEAD_MS;
             silent && self.members.live_in_zone(now_ms, zone).next().is_none()
         };
-        // Every second scan is of a dead zone, if there is one.
         let is_even_sweep = (now_ms / self.settings.ledger.sweep_ms.max(1)).is_multiple_of(2);
         let zones = self.members.other_zones();
         let dead_zone = zones.keys().copied().find(is_dead);
@@ -148,41 +153,44 @@
         let last = found.last().map(|row| row.key.clone()).unwrap_or_default();
         self.sweep.cursor = if is_full { last } else { String::new() };
         let holders = self.members.holders(self.now_ms, self.stopping);
-        // Only the relay scans another zone, so it takes over every job that it finds there.
+        // In its own zone, a daemon takes over only the jobs that are assigned to it. Another
+        // zone is scanned by the relay alone, which therefore takes over all of its jobs.
         let in_other_zone = self.sweep.zone.as_ref().is_some_and(|zone| *zone != self.me.zone);
         for row in found {
             let Ok(open) = serde_json::from_str::<rows::OpenRow>(&row.value) else {
                 continue;
             };
             let is_own = open.coordinator == self.me.daemon;
-            let runs_here = self.jobs.contains_key(&open.job);
-            // A row that names this daemon but an unknown job is from before its restart.
-            let is_abandoned = if is_own { !runs_here } else { !self.is_live(&open.coordinator) };
+            let is_coordinated_here = self.jobs.contains_key(&open.job);
+            // A row that names this daemon but an unknown job was written before the daemon
+            // restarted.
+            let is_abandoned =
+                if is_own { !is_coordinated_here } else { !self.is_live(&open.coordinator) };
             let is_assigned = in_other_zone
                 || rendezvous::select(&open.job.to_string(), &holders) == Some(&self.me.daemon);
-            // A job that runs here although its row names another daemon was taken over
-            // by that one.
-            let taken_over = runs_here && !is_own;
-            if taken_over || (is_abandoned && !runs_here && (is_own || is_assigned)) {
-                self.sweep.claims.insert(open.job);
+            // If the job is still coordinated here but its row names another daemon, that
+            // daemon has taken it over.
+            let taken_over = is_coordinated_here && !is_own;
+            if taken_over || (is_abandoned && !is_coordinated_here && (is_own || is_assigned)) {
+                self.sweep.takeovers.insert(open.job);
             }
         }
     }
 
-    fn read_claims(&mut self) {
-        if self.sweep.reading || self.sweep.claims.is_empty() {
+    fn read_takeovers(&mut self) {
+        if self.sweep.reading || self.sweep.takeovers.is_empty() {
             return;
         }
-        let jobs: Vec<JobId> = self.sweep.claims.iter().take(TAKEOVER_BATCH).copied().collect();
+        let jobs: Vec<JobId> = self.sweep.takeovers.iter().take(TAKEOVER_BATCH).copied().collect();
         for job in &jobs {
-            self.sweep.claims.remove(job);
+            self.sweep.takeovers.remove(job);
         }
         self.sweep.reading = true;
         let keys = jobs.into_iter().map(rows::job_key).collect();
-        self.call_store(StoreOp::SweepRead, StoreCall::Read { keys });
+        self.call_store(StoreOp::SweepTakeovers, StoreCall::Read { keys });
     }
 
-    pub(crate) fn on_claim_rows(&mut self, reply: Result<StoreReply, CallError>) {
+    pub(crate) fn on_takeover_rows(&mut self, reply: Result<StoreReply, CallError>) {
         self.sweep.reading = false;
         let Ok(StoreReply::Rows { rows: found }) = reply else {
             return;
@@ -192,8 +200,9 @@
         }
     }
 
-    /// Makes this daemon the coordinator of a job. The write fails if another daemon was
-    /// faster, or if the previous one is alive and has written since.
+    /// Makes this daemon the coordinator of a job. The write fails if the record changed
+    /// since it was read: another daemon took the job over first, or the previous
+    /// coordinator is alive and has written.
     fn take_over(&mut self, row: &Row) {
         let Ok(record) = serde_json::from_str::<JobRecord>(&row.value) else {
             return;
@@ -251,9 +260,10 @@
         self.write_job(id);
     }
 
-    /// Reads the records of jobs with tasks on held workers that may be orphaned:
-    /// their coordinator doesn't know them, is this daemon, which doesn't run the job,
-    /// or they ended some time ago.
+    /// Finds tasks on held workers that may be orphaned, and reads the records of their
+    /// jobs. The job is not coordinated by this daemon, and one of these holds: the task
+    /// names this daemon as its coordinator, the coordinator replied that it doesn't know
+    /// the job, or the task ended at least [`ENDED_TASK_RETENTION_MS`] ago.
     fn find_orphans(&mut self) {
         let mut jobs = BTreeSet::new();
         for held in self.held.values() {
@@ -285,7 +295,8 @@
         for (job, row) in jobs.iter().zip(found) {
             let record: Option<JobRecord> = serde_json::from_str(&row.value).ok();
             match record {
-                // An open job finds its tasks itself once a daemon runs it.
+                // The job is open, so its coordinator may still inquire about the tasks. They
+                // are kept for it.
                 Some(record) if record.outcome.is_none() => self.extend_retention(*job),
                 Some(record) => {
                     self.remember_finished(view_of_record(record, Vec::new()));
@@ -326,7 +337,7 @@
         self.acknowledge(&ended);
     }
 
-    pub(crate) fn on_done_rows(&mut self, reply: Result<StoreReply, CallError>) {
+    pub(crate) fn on_finished_rows(&mut self, reply: Result<StoreReply, CallError>) {
         self.sweep.removing = false;
         let Ok(StoreReply::Rows { rows: found }) = reply else {
             return;
@@ -335,8 +346,8 @@
             rows::first_done_key(self.now_ms.saturating_sub(self.settings.ledger.retention_ms));
         let mut deletes = Vec::new();
         for row in &found {
-            // The key holds the hour in which the job finished; the retention time must be
-            // over for the whole hour.
+            // The key contains the hour in which the job finished. Rows are removed only if
+            // the retention time is over for the whole hour.
             if row.key >= kept_from {
                 break;
             }
@@ -377,8 +388,8 @@
             StoreOp::LoadBody(job) => self.on_body_loaded(job, reply),
             StoreOp::Lookup(lookup) => self.on_lookup_reply(lookup, reply),
             StoreOp::SweepOpen => self.on_open_rows(reply),
-            StoreOp::SweepRead => self.on_claim_rows(reply),
-            StoreOp::SweepDone => self.on_done_rows(reply),
+            StoreOp::SweepTakeovers => self.on_takeover_rows(reply),
+            StoreOp::SweepFinished => self.on_finished_rows(reply),
             StoreOp::SweepOrphans(jobs) => self.on_orphan_rows(&jobs, reply),
             StoreOp::RemoveBody => {}
         }
--- a/crates/engine/src/worker_leases.rs
+++ b/crates/engine/src/worker_leases.rs
@@ -229,7 +229,7 @@
     fn record_running(&mut self, worker: &WorkerId, report: &TaskReport) {
         let running = self.running_task(worker, report);
         // A reservation for the same attempt on another worker is no longer needed.
-        self.remote.remove_grant(report.attempt);
+        self.remote.remove_reservation_for_peer(report.attempt);
         self.scheduler.add_running(report.attempt, running);
         let victims = self.scheduler.record_usage(self.now_ms, report.attempt, &report.usage);
         for victim in victims {
@@ -284,7 +284,7 @@
             return false;
         };
         // The capacity granted for this attempt is in use from now on.
-        self.remote.remove_grant(start.attempt);
+        self.remote.remove_reservation_for_peer(start.attempt);
         if !held.has_attempt(start.attempt) {
             held.unsent_starts.push(start);
         }
