--- a/crates/engine/src/catalogue.rs
+++ b/crates/engine/src/catalogue.rs
@@ -1,4 +1,6 @@
 //! Polling the catalogue, editing it, and applying it on this daemon.
+//!
+//! The catalogue contains entries and targets. A target assigns a worker to an owner.
 
 use std::collections::HashMap;
 
@@ -27,7 +29,7 @@
 use crate::ops::PeerOp;
 use crate::ops::StoreOp;
 
-/// Delay before the write that a target is empty is retried.
+/// Delay before the change that hands over an empty target is sent again.
 const EMPTIED_RETRY_MS: u64 = 2_000;
 
 impl Engine {
@@ -91,8 +93,8 @@
         }
     }
 
-    /// Notifies peers that are behind, so that they fetch the change at once instead
-    /// of at their next poll.
+    /// Notifies peers that know only an older revision, so that they fetch the change at once
+    /// instead of at their next poll.
     pub(crate) fn announce_revision(&mut self) {
         let revision = self.catalogue.revision();
         let mut outdated = Vec::new();
@@ -132,16 +134,17 @@
         }
     }
 
-    /// Gives each owner a local share of its quota, in proportion to how many of
-    /// its serving targets are held here, and its work entries a share of their
-    /// limit on running tasks. The shares of all daemons never add up to more
-    /// than the whole.
+    /// Gives each owner a local share of its quota, and each of its work entries a local
+    /// share of the limit on running tasks. The shares are in proportion to how many of the
+    /// owner's serving targets have a worker that is held here. The shares of all daemons
+    /// never add up to more than the whole.
     pub(crate) fn apply_quota_shares(&mut self) {
         if !self.quota_shares_due {
             return;
         }
         self.quota_shares_due = false;
-        // The number of serving targets of each owner, and the ranks of those held here.
+        // For each owner, the number of its serving targets, and the ranks of those whose
+        // worker is held here.
         let mut serving_counts: HashMap<&OwnerName, u64> = HashMap::new();
         let mut held_ranks: HashMap<&OwnerName, Vec<u64>> = HashMap::new();
         for target in self.catalogue.targets() {
@@ -168,9 +171,9 @@
         }
     }
 
-    /// Stops tasks that must not stay on a draining target: services are replaced
-    /// on other workers, and patient batch tasks are evicted with a checkpoint.
-    /// Urgent tasks, gangs and tasks that may run only once run to completion.
+    /// Stops the tasks on a worker whose target is draining that need not run to completion.
+    /// Services are replaced on other workers, and patient batch tasks are evicted with a
+    /// checkpoint. Urgent tasks, gangs and tasks that may run only once continue.
     fn evict_from_target(&mut self, worker: &WorkerId) {
         let Some(worker_info) = self.scheduler.cell.worker_info(worker) else {
             return;
@@ -190,7 +193,7 @@
         }
     }
 
-    /// Hands targets that were drained for another owner to it once they are empty.
+    /// Assigns drained targets to their next owner once nothing runs on their worker.
     pub(crate) fn hand_over_drained_targets(&mut self) {
         let now_ms = self.now_ms;
         self.handover_sent_ms.retain(|_, sent_ms| now_ms < *sent_ms + EMPTIED_RETRY_MS);
@@ -229,8 +232,8 @@
         self.call_store(StoreOp::Query(ticket), call);
     }
 
-    /// Whether some target that serves this owner, in any zone, is large enough for
-    /// `demand`; `None` if such targets exist but no daemon has reported any yet.
+    /// Whether some worker that serves this owner, in any zone, is large enough for `demand`.
+    /// `None` if the owner has serving targets but no daemon has reported their workers yet.
     pub(crate) fn could_fit_anywhere(&self, owner: &OwnerName, demand: &Resources) -> Option<bool> {
         if self.scheduler.cell.could_fit(owner, demand) {
             return Some(true);
@@ -247,7 +250,8 @@
                 reported += 1;
             }
         }
-        // The catalogue has targets for this owner, but no daemon has reported them yet.
+        // The catalogue has targets for this owner, but no daemon has reported their
+        // workers yet.
         if reported == 0 && serving > 0 {
             return None;
         }
--- a/crates/engine/src/commit.rs
+++ b/crates/engine/src/commit.rs
@@ -95,8 +95,9 @@
         }
     }
 
-    /// Another daemon wrote the record: it accepted the same key first, or took
-    /// the job over because this daemon seemed dead.
+    /// Drops a job whose record another daemon wrote. That daemon accepted a submission with
+    /// the same idempotency key first, or it took the job over because this daemon seemed
+    /// dead.
     pub(crate) fn on_conflict(&mut self, id: JobId, row: &str) {
         let Some(mut job) = self.jobs.remove(&id) else {
             return;
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Drops a job that another daemon has taken over without this one noticing.
+    /// Drops a job that another daemon has taken over, which this daemon had not noticed.
     pub(crate) fn abandon_job(&mut self, id: JobId, row: &str) {
         self.on_conflict(id, row);
     }
--- a/crates/engine/src/gangs.rs
+++ b/crates/engine/src/gangs.rs
@@ -13,11 +13,11 @@
 use crate::remote::Gang;
 
 impl Engine {
-    /// Reserves capacity for a gang that does not fit on the workers of one daemon:
-    /// first here, then at the other daemons of the zone, one after the other. Every
-    /// gang uses the same order and keeps its reservations for a bounded time only;
-    /// all are released if a task stays unplaced. Returns `false` if there is no
-    /// other live daemon in the zone.
+    /// Reserves capacity for a gang that does not fit on the workers of one daemon. Capacity
+    /// is reserved here first, then at the other daemons of the zone, one after the other.
+    /// Every gang asks the daemons in the same order and keeps its reservations for a
+    /// bounded time only. If a task stays unplaced, all reservations are released. Returns
+    /// `false` if there is no other live daemon in the zone.
     pub(crate) fn reserve_gang(&mut self, waiting: &WaitingJob) -> bool {
         let mut peers = self.zone_peers();
         peers.sort();
@@ -42,8 +42,8 @@
         true
     }
 
-    /// Starts the gang if every task has a reservation, otherwise asks the next
-    /// daemon, or releases the gang if all daemons were asked.
+    /// Starts the gang if every task is placed. Otherwise asks the next daemon, or releases
+    /// the gang if all daemons were asked.
     pub(crate) fn advance_gang(&mut self, id: JobId) {
         let Some(mut gang) = self.remote.gangs.remove(&id) else {
             return;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Gives back all reservations of a gang and queues its tasks again.
+    /// Releases all capacity that a gang collected and queues its tasks again.
     pub(crate) fn release_gang(&mut self, id: JobId, gang: Gang) {
         let mut by_holder: BTreeMap<DaemonId, Vec<AttemptId>> = BTreeMap::new();
         for (attempt, _, _) in &gang.placed {
--- a/crates/engine/src/held_worker.rs
+++ b/crates/engine/src/held_worker.rs
@@ -15,7 +15,7 @@
 pub(crate) struct HeldWorker {
     /// The fencing token of the lease.
     pub(crate) token: Token,
-    /// Tasks that the worker runs or has run and not yet forgotten.
+    /// Tasks that the worker runs, and ended ones that it has not forgotten yet.
     pub(crate) tasks: BTreeMap<AttemptId, TrackedTask>,
     /// Starts that have not been sent yet.
     pub(crate) unsent_starts: Vec<StartTask>,
@@ -36,7 +36,7 @@
 pub(crate) struct TrackedTask {
     /// The state last reported by the worker.
     pub(crate) state: TaskState,
-    /// The daemon that runs its job and receives the reports about it.
+    /// The coordinator of its job, which receives the reports about it.
     pub(crate) coordinator: DaemonId,
     /// When it was first observed to have ended; 0 while it runs.
     pub(crate) ended_ms: UnixMs,
--- a/crates/engine/src/inquiry.rs
+++ b/crates/engine/src/inquiry.rs
@@ -1,9 +1,13 @@
 //! Inquiries about the state of tasks, and detection of lost workers.
 //!
-//! An attempt is in doubt if its start may have been sent and no report about it
-//! has arrived. The daemon that holds the lease on its worker can resolve the
-//! doubt: either the worker reports the attempt, or a newer fencing token than
-//! that of the attempt's intent is in force, under which it can never start.
+//! An attempt is in doubt if its start may have been sent and no report about it has
+//! arrived. The coordinator then inquires at the daemons that may hold the worker. The
+//! holder can resolve the doubt. If the worker reports the attempt, its state is known. If
+//! it does not, the attempt can never start: a newer fencing token than that of its intent
+//! is in force, or the holder releases the attempt's capacity and refuses the start.
+//!
+//! After a takeover, the new coordinator does not know where its job's tasks run. It asks
+//! all daemons of the zone to find them.
 
 use std::collections::BTreeMap;
 
@@ -30,11 +34,11 @@
 const IN_DOUBT_INQUIRY_MS: u64 = 1_000;
 /// Interval between inquiries about tasks that run on workers of other daemons.
 const RUNNING_INQUIRY_MS: u64 = 10_000;
-/// Safety margin on top of the time after which a lost worker must have stopped all tasks.
+/// Margin on top of the time after which a lost worker must have stopped all tasks.
 const GONE_MARGIN_MS: u64 = 5_000;
 
 impl Engine {
-    /// Inquires about the attempts of all jobs that are due for it.
+    /// Inquires about the attempts of all jobs whose next inquiry is due.
     pub(crate) fn resolve_in_doubt(&mut self) {
         let now_ms = self.now_ms;
         let mut due = Vec::new();
@@ -138,7 +142,7 @@
         PeerReply::Tasks(replies)
     }
 
-    /// Directs further reports about the task to the daemon that runs its job now.
+    /// Directs further reports about the task to its job's present coordinator.
     fn set_task_coordinator(
         &mut self,
         attempt: AttemptId,
@@ -158,7 +162,8 @@
         }
     }
 
-    /// Asks all daemons of the zone which attempts of a job that was taken over they have.
+    /// Asks all daemons of the zone which attempts of a taken-over job are on workers that
+    /// they hold.
     fn find_job_tasks(&mut self, id: JobId) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -214,7 +219,7 @@
         }
     }
 
-    /// Counts a daemon's answer; after the last one, queues the tasks not found anywhere.
+    /// Counts a daemon's reply. After the last one, queues the tasks that were not found.
     fn on_find_answered(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -232,8 +237,8 @@
         }
     }
 
-    /// Groups items that each concern one worker by the daemons that may hold it:
-    /// all other live daemons of the worker's zone.
+    /// Groups items by the daemons that may hold their worker. These are all other live
+    /// daemons of the worker's zone, so an item may be in several groups.
     pub(crate) fn group_by_daemon<T: Clone>(
         &self,
         items: &[T],
@@ -253,8 +258,8 @@
         by_daemon
     }
 
-    /// Whether jobs of this daemon may have tasks on workers of other zones. The
-    /// instance list of this zone doesn't show when such a worker is lost.
+    /// Whether jobs of this daemon may have tasks on workers of other zones. If such a worker
+    /// is lost, the instance list of this zone doesn't show it.
     pub(crate) fn has_tasks_in_other_zones(&self) -> bool {
         let own_zone = Some(&self.me.zone);
         self.job_workers().iter().any(|worker| self.worker_zones.get(worker) != own_zone)
@@ -270,8 +275,8 @@
         workers
     }
 
-    /// Records since when workers are missing from the platform's instance list.
-    /// Only the list of all zones shows this for workers of other zones.
+    /// Records since when workers have been missing from the platform's instance list. For
+    /// workers of other zones, only the list of all zones shows it.
     pub(crate) fn record_missing_workers(&mut self, all_zones: bool) {
         let now_ms = self.now_ms;
         let listed = &self.worker_zones;
@@ -291,8 +296,9 @@
         }
     }
 
-    /// Whether a worker has been missing from the instance list for so long that its
-    /// lease has expired and it has stopped, by contract, all tasks that must stop then.
+    /// Whether a worker is permanently lost. It has been missing from the instance list for
+    /// so long that its lease has expired. By contract, it has then also stopped all tasks
+    /// that must not run without a lease.
     pub(crate) fn is_worker_gone(&self, worker: &WorkerId) -> bool {
         let leases = &self.settings.leases;
         let wait_ms: UnixMs = leases.ttl_ms + leases.orphan_ms + GONE_MARGIN_MS;
--- a/crates/engine/src/jobs.rs
+++ b/crates/engine/src/jobs.rs
@@ -34,23 +34,23 @@
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) machine: JobMachine,
-    /// What to run; also set if the record stores the body as an object.
+    /// What the tasks run. Also set if the record refers to an object with the body.
     pub(crate) body: String,
     /// Whether the record is durable.
     pub(crate) accepted: bool,
     /// Callers that wait for acceptance, each with the time it then waits for the outcome.
     pub(crate) acceptance_waiters: Vec<(Ticket, u64)>,
-    /// When the first write of the record is given up; a store timeout later the callers
-    /// that wait for acceptance are told that it is unknown.
+    /// When the first write of the record is given up. One store timeout later, the callers
+    /// that wait for acceptance learn that it is unknown whether the job was accepted.
     pub(crate) accept_until_ms: UnixMs,
     /// Callers that wait for the outcome, each with its deadline.
     pub(crate) outcome_waiters: Vec<(Ticket, UnixMs)>,
     /// Earliest time for the next inquiry about its tasks.
     pub(crate) inquire_not_before_ms: UnixMs,
-    /// When a job that was taken over searches for its running tasks; `None` for others
-    /// and once the search began.
+    /// When the search for the running tasks of a taken-over job begins. `None` for other
+    /// jobs, and once the search has begun.
     pub(crate) discovery_due_ms: Option<UnixMs>,
-    /// Daemons that have not yet reported which of its tasks are on their workers.
+    /// Number of daemons that have not yet replied which of its tasks are on their workers.
     pub(crate) pending_discoveries: u32,
     /// The id of the open request, if its class is request.
     pub(crate) request: Option<u64>,
@@ -119,8 +119,8 @@
             self.requeue_request(id);
             return;
         }
-        // While a reservation at a peer was pending, an attempt may have been placed
-        // here. Queuing it again would start it on a second worker.
+        // An attempt may have been placed here while a reservation for it at a peer was
+        // pending. If it were queued again, it would start on a second worker.
         let machine = &job.machine;
         let attempts: Vec<AttemptId> =
             attempts.into_iter().filter(|attempt| machine.is_waiting(*attempt)).collect();
@@ -158,7 +158,7 @@
                 None => unplaced.push(task.attempt),
             }
         }
-        // The lease on the worker has just expired; the task waits for another worker.
+        // The lease on the worker has just expired, so the task waits again.
         for attempt in unplaced {
             self.scheduler.release_unstarted(self.now_ms, attempt);
             self.enqueue(id, vec![attempt]);
@@ -294,8 +294,8 @@
         }
     }
 
-    /// Lets a caller wait for the outcome; answers at once if `wait_ms` is 0 or the job
-    /// does not run here.
+    /// Lets a caller wait for the outcome. Answers at once if `wait_ms` is 0, or if this
+    /// daemon does not coordinate the job.
     pub(crate) fn wait_for_outcome(&mut self, id: JobId, ticket: Ticket, wait_ms: u64) {
         let until_ms = self.now_ms + wait_ms.min(self.settings.http.wait_max_ms);
         if wait_ms > 0
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -5,10 +5,22 @@
 //! random numbers, so tests can replay any schedule of failures by feeding it
 //! the same events. The daemon executes the effects and feeds their results back.
 //!
-//! Each module covers one responsibility of a daemon: [`worker_leases`](crate)
-//! keeps leases on workers, `jobs` runs accepted work, `requests` serves
-//! requests through minions, `sweep` takes over the jobs of dead daemons, and
-//! `peers` exchanges state with other daemons.
+//! Each module covers one responsibility of a daemon: `worker_leases` keeps the leases on
+//! workers, `jobs` executes accepted work, `requests` serves requests through minions,
+//! `seal` finds out what became of a request without an answer, `sweep` takes over the
+//! jobs of dead daemons, and `peers` exchanges state with other daemons.
+//!
+//! These terms are used throughout:
+//!
+//! - An entry is an item of the catalogue that operators write. A work entry describes one
+//!   kind of work: its owner, class, limits and the demand of a task.
+//! - A target is the catalogue's assignment of a worker to an owner, which is a customer.
+//!   Only the owner's work may run on the worker. A draining target starts no new work.
+//! - A minion is a server process on a worker that answers requests. It has a number of
+//!   slots, each for one request at a time, and belongs to a group of equal minions.
+//! - The coordinator of a job is the daemon that schedules it and writes its record.
+//! - The holder of a worker is the daemon that has the lease on it. Only the holder places
+//!   and starts tasks there. The holder and a task's coordinator may be different daemons.
 
 mod catalogue;
 mod commit;
@@ -238,7 +250,7 @@
         !self.stopping && known
     }
 
-    /// Whether all work was handed over, so that the process may exit.
+    /// Whether the shutdown is complete, so that the process may exit.
     pub fn is_stopped(&self) -> bool {
         self.stopped
     }
@@ -286,8 +298,9 @@
         self.commit();
     }
 
-    /// Whether work that has to be recorded is rejected at once: the store has not
-    /// answered for a while, so waiting for it would end in an unknown acceptance.
+    /// Whether work that has to be recorded is rejected at once, because the store has not
+    /// responded for a while. If the callers waited for the store instead, they would only
+    /// learn that it is unknown whether their work was accepted.
     fn rejects_recorded_work(&self) -> bool {
         self.committer.is_failing() || self.store_failures >= STORE_FAILURES_MAX
     }
--- a/crates/engine/src/lookup.rs
+++ b/crates/engine/src/lookup.rs
@@ -1,4 +1,4 @@
-//! Status and cancellation of jobs, on whichever daemon they run.
+//! Status and cancellation of jobs, whichever daemon coordinates them.
 
 use stoatwell_ledger::JobMachine;
 use stoatwell_model::Code;
@@ -157,9 +157,9 @@
         }
     }
 
-    /// Answers a caller from the record of a job that another daemon may be working on. A
-    /// job that isn't finished is inquired about at its coordinator, unless that is silent
-    /// or this daemon.
+    /// Answers a caller from the record of a job that this daemon doesn't coordinate. If the job
+    /// has not finished, its coordinator is asked instead, unless the coordinator is silent or
+    /// is this daemon.
     pub(crate) fn answer_from_record(&mut self, ticket: Ticket, record: JobRecord, wait_ms: u64) {
         if record.outcome.is_some() {
             let view = view_of_record(record, Vec::new());
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -219,7 +219,7 @@
     Heartbeat {
         /// The sender's own state.
         beat: Heartbeat,
-        /// What the sender knows about zones other than the receiver's.
+        /// Updates about zones other than the receiver's.
         news: Vec<ZoneUpdate>,
     },
     /// Requests the catalogue changes since a revision.
@@ -270,14 +270,16 @@
         /// Whether to stop them at once, with a checkpoint, or only to throttle them.
         mode: StopMode,
     },
-    /// Asks what became of attempts on workers that the receiver holds.
+    /// Asks what became of certain attempts, each on a known worker that the receiver may
+    /// hold.
     Inquire {
         /// The daemon that coordinates the job now and gets later reports.
         coordinator: DaemonId,
         /// Each attempt with its worker and the fencing token of its intent.
         attempts: Vec<(AttemptId, WorkerId, Token)>,
     },
-    /// Asks which attempts of jobs are on the receiver's workers.
+    /// Asks which attempts of certain jobs are on workers that the receiver holds. Sent after
+    /// a takeover, when the workers of the attempts are not known.
     Find {
         /// The daemon that coordinates the jobs now and gets later reports.
         coordinator: DaemonId,
@@ -296,7 +298,7 @@
         /// Each attempt with its worker.
         attempts: Vec<(AttemptId, WorkerId)>,
     },
-    /// The sender shuts down and hands these jobs to the receiver.
+    /// The sender shuts down and hands these jobs to the receiver, which takes them over.
     Adopt {
         /// The jobs, whose records already name the receiver.
         jobs: Vec<JobId>,
@@ -313,7 +315,7 @@
         /// An update about the receiver's zone, for a sender in another zone.
         news: Vec<ZoneUpdate>,
     },
-    /// The catalogue changes that were requested.
+    /// The catalogue changes that were requested by [`PeerCall::CatalogueSince`].
     News(CatalogueUpdate),
     /// The state of a job, or why it was refused.
     Job(Result<JobView, Failure>),
@@ -322,7 +324,8 @@
         /// One for each attempt that got capacity; the others got none.
         reservations: Vec<Reservation>,
     },
-    /// What became of each attempt; those on workers of other holders are left out.
+    /// What became of each attempt. Attempts on workers that the receiver does not hold are
+    /// left out.
     Tasks(Vec<TaskReply>),
     /// The reports that arrived.
     Acknowledged {
@@ -331,7 +334,7 @@
         /// Attempts of jobs that the replying daemon does not coordinate.
         unknown: Vec<AttemptId>,
     },
-    /// The call was received; there is nothing to return.
+    /// Acknowledges a call that has no result.
     Noted,
 }
 
@@ -355,7 +358,7 @@
     pub job: JobId,
     /// The customer that owns it.
     pub owner: OwnerName,
-    /// The catalogue entry that it runs.
+    /// The work entry that it was submitted to.
     pub entry: EntryName,
     /// The class of its entry.
     pub class: Class,
--- a/crates/engine/src/observations.rs
+++ b/crates/engine/src/observations.rs
@@ -14,8 +14,8 @@
 const REFUSED_START_BACKOFF_MS: u64 = 100;
 
 impl Engine {
-    /// Passes on what the holder of a worker observed about a task: directly if the job
-    /// runs here, otherwise as a report to its coordinator.
+    /// Passes what the holder of a worker observed about a task to the task's coordinator:
+    /// directly if that is this daemon, otherwise as a report.
     pub(crate) fn notify_coordinator(
         &mut self,
         attempt: AttemptId,
@@ -67,9 +67,9 @@
         true
     }
 
-    /// Whether an attempt is the current one of its task and was placed on no other
-    /// worker. One attempt may have been reserved at two holders, one after the other;
-    /// a report of the first one must not count for the second.
+    /// Whether an attempt is the current one of its task and was not placed on a worker other
+    /// than this one. Capacity for one attempt may have been reserved at two holders, one
+    /// after the other. A report of the first holder must not count for the second.
     pub(crate) fn is_current(&self, attempt: AttemptId, worker: &WorkerId) -> bool {
         let Some(job) = self.jobs.get(&attempt.job) else {
             return false;
@@ -107,9 +107,9 @@
         });
     }
 
-    /// Handles a task of a job that doesn't run here: if the job has recently finished,
-    /// the task is stopped, or its worker may forget it if it has ended. Returns `false`
-    /// for other jobs.
+    /// Handles a task of a job that this daemon doesn't coordinate. If the job is known to
+    /// have finished, a running task is stopped, and the worker may forget an ended one.
+    /// Returns `false` if the job isn't known.
     pub(crate) fn on_finished_job_observation(
         &mut self,
         attempt: AttemptId,
--- a/crates/engine/src/ops.rs
+++ b/crates/engine/src/ops.rs
@@ -54,9 +54,9 @@
     SweepOpen,
     /// Reads the records of jobs to take over.
     SweepTakeovers,
-    /// Scans for finished jobs whose retention time is over.
+    /// Scans finished jobs, to remove those whose retention time is over.
     SweepFinished,
-    /// Reads the records of jobs that have tasks here but no known coordinator.
+    /// Reads the records of jobs whose tasks on held workers may be orphaned.
     SweepOrphans(Vec<JobId>),
     /// Deletes the stored body of a job.
     RemoveBody,
@@ -69,7 +69,8 @@
     Status { ticket: Ticket, caller: Caller, job: JobId, wait_ms: u64 },
     /// A caller cancels it.
     Cancel { ticket: Ticket, caller: Caller, job: JobId },
-    /// It may have been accepted before its share of traffic moved back to the old system.
+    /// A submission that now stays with the old system may have been accepted earlier, when
+    /// the entry's share of traffic was larger.
     Resubmission { ticket: Ticket, key: String, submission: Submission, wait_ms: u64 },
 }
 
@@ -90,7 +91,8 @@
 pub(crate) enum MinionOp {
     /// Sends a request.
     Request { request: u64, minion: MinionId },
-    /// Asks for the outcome of an earlier request; one that has not started never will.
+    /// Asks for the outcome of an earlier request. A request that has not arrived at the
+    /// minion is refused from then on.
     Seal(JobId),
 }
 
@@ -103,11 +105,11 @@
     Catalogue,
     /// Queries or cancels a job at its coordinator; the reply goes to the waiting caller.
     ProxyReply(Ticket),
-    /// Forwards a submission; it is run here if the other daemon did not receive it.
+    /// Forwards a submission, which is accepted here if the other daemon did not receive it.
     Forward { ticket: Ticket, caller: Caller, key: String, submission: Submission, wait_ms: u64 },
     /// Reserves capacity on workers that the peer holds.
     Reserve { job: JobId, attempts: Vec<AttemptId>, holder: DaemonId },
-    /// Asks what became of attempts.
+    /// Asks what became of attempts whose workers are known.
     Inquire,
     /// Asks which attempts of these jobs are on workers that the peer holds.
     Find(Vec<JobId>),
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -1,9 +1,12 @@
-//! Requests: answered by a minion on a worker of this daemon while the caller waits.
+//! Requests, which a minion answers while the caller waits.
 //!
-//! A request that may run only once is recorded together with its minion before
-//! it is sent. If no answer comes, it is unknown whether the request ran: the
-//! caller gets that outcome at once, and the minion is queried until it reports
-//! the outcome or its worker is gone for good.
+//! A minion is a server process on a worker. This daemon sends requests only to the minions
+//! on workers that it holds, and at most one request to each of a minion's slots.
+//!
+//! A request that may run at most once is recorded together with its minion before it is
+//! sent. If no answer comes, it is unknown whether the request ran. The caller gets that
+//! outcome at once. The minion is then queried until it reports the outcome or its worker
+//! is permanently lost. Other requests are not recorded and have no job.
 
 use stoatwell_ledger::JobMachine;
 use stoatwell_model::AttemptId;
@@ -37,7 +40,7 @@
 /// One request that has no outcome yet.
 #[derive(Debug)]
 pub(crate) struct Request {
-    /// The waiting caller; `None` for recorded requests, whose callers wait on the job.
+    /// The waiting caller; `None` for recorded requests, whose callers wait for the job.
     pub(crate) ticket: Option<Ticket>,
     pub(crate) record: stoatwell_model::JobRecord,
     pub(crate) body: String,
@@ -51,6 +54,7 @@
 }
 
 impl Request {
+    /// Whether the request has a job with a durable record: it may run at most once.
     fn is_recorded(&self) -> bool {
         self.record.execution == Execution::AtMostOnce
     }
@@ -138,8 +142,8 @@
         request_id
     }
 
-    /// Whether a slot may become free here: on a local minion, or on one that
-    /// another daemon of the zone holds and may be about to hand over.
+    /// Whether a slot of the group may become free here: on a minion of a held worker, or on
+    /// one that another daemon of the zone holds now and may release to this one.
     fn has_minions(&self, group: &str) -> bool {
         let local =
             self.minions.all().any(|(_, minion)| minion.group == group && minion.serves.is_some());
@@ -154,7 +158,7 @@
         }
     }
 
-    /// Assigns the slot that was taken on a minion to this request.
+    /// Assigns a minion, on which a slot was allocated, to the request.
     fn assign_minion(&mut self, request_id: u64, picked: PickedMinion) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             self.minions.release(self.now_ms, &picked.minion, RequestEnd::NoFailure);
@@ -294,8 +298,8 @@
         self.queue_request(request_id);
     }
 
-    /// Queues repeatable work for another attempt if the retry budget and the deadline
-    /// allow it; returns whether it did.
+    /// Queues a request that may be repeated for another attempt, if its attempts, its
+    /// deadline and the retry budget allow it. Returns whether it was queued.
     fn retry_request(&mut self, request_id: u64) -> bool {
         let Some(request) = self.requests.get(&request_id) else {
             return false;
@@ -337,7 +341,8 @@
         self.end_request(request_id, outcome);
     }
 
-    /// Ends a request with its outcome.
+    /// Ends a request with its outcome. A recorded request ends through its job; any other
+    /// one is answered here.
     fn end_request(&mut self, request_id: u64, outcome: Outcome) {
         let Some(request) = self.requests.remove(&request_id) else {
             return;
@@ -356,9 +361,9 @@
         }
     }
 
-    /// Sets the outcome of a recorded request. An accepted request's callers get it
-    /// at once: if this daemon dies before the outcome is written, the minion can
-    /// still report it.
+    /// Sets the outcome of a recorded request in its job. If the record is durable already,
+    /// the callers get the outcome at once: should this daemon die before the outcome is
+    /// written, the minion can still report it.
     pub(crate) fn finish_recorded_request(&mut self, id: JobId, outcome: Outcome) {
         let now_ms = self.now_ms;
         let accept_timeout_ms = self.settings.ledger.accept_timeout_ms;
@@ -367,9 +372,10 @@
         };
         job.request = None;
         if !job.accepted {
-            // Another daemon may have accepted and run the same key, which only the
-            // record shows. So "not run" is first written as the key's outcome; if
-            // the key already has a record, the callers get its answer instead.
+            // Another daemon may have accepted a request with the same idempotency key and
+            // run it. Only the record of that job shows this. So the outcome is written
+            // before the callers get it. If the key has a record already, the write
+            // conflicts, and the callers get the outcome of that record instead.
             job.accept_until_ms = now_ms + accept_timeout_ms;
             self.drive(id, |machine, now_ms| machine.finish(now_ms, outcome));
             return;
@@ -389,8 +395,8 @@
             self.queue_request(request_id);
             return;
         }
-        // The job was taken over from another daemon: its body is not here, and no
-        // caller waits for the answer.
+        // The job was taken over from another daemon. The request's body is not here, and
+        // no caller waits for the answer.
         self.finish_recorded_request(
             id,
             not_run(Code::NoMinion, "the daemon that accepted it was replaced"),
--- a/crates/engine/src/seal.rs
+++ b/crates/engine/src/seal.rs
@@ -1,4 +1,8 @@
-//! Recorded requests without an answer: the minion is asked for their outcome.
+//! Recorded requests without an answer.
+//!
+//! The minion is asked for the outcome by a call named seal. If the request never arrived
+//! at the minion, the seal bars it: the minion refuses the request from then on, so "not
+//! run" is a safe outcome.
 
 use stoatwell_model::AttemptId;
 use stoatwell_model::Class;
@@ -19,8 +23,9 @@
 const SEAL_RETRY_MS: u64 = 1_000;
 
 impl Engine {
-    /// Handles a recorded request that got no answer: it isn't sent again, the callers
-    /// are told at once that its outcome is unknown, and the minion is asked for it.
+    /// Handles a recorded request that got no answer. The request isn't sent again. The
+    /// callers learn at once that its outcome is unknown, and the minion is asked for the
+    /// outcome.
     pub(crate) fn on_request_unanswered(&mut self, request_id: u64) {
         let Some(request) = self.requests.remove(&request_id) else {
             return;
@@ -43,8 +48,8 @@
         self.answer_waiters(id, &view);
     }
 
-    /// Asks the minion of a recorded request for its outcome; a minion that never
-    /// received it refuses it from then on.
+    /// Asks the minion of a recorded request for the request's outcome. A minion that never
+    /// received the request refuses it from then on.
     pub(crate) fn seal_request(&mut self, id: JobId) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&id) else {
--- a/crates/engine/src/shutdown.rs
+++ b/crates/engine/src/shutdown.rs
@@ -38,8 +38,8 @@
         self.stopped = requests_done && (jobs_done || self.jobs.is_empty()) && is_idle && released;
     }
 
-    /// Hands each job over to a live daemon of the zone. Running tasks continue; the
-    /// successor asks the new holders of their workers about them.
+    /// Hands each job over to a live daemon of the zone, its successor as coordinator.
+    /// Running tasks continue. The successor asks the holders of their workers about them.
     fn hand_over_jobs(&mut self) {
         let peers = self.zone_peers();
         if peers.is_empty() {
@@ -68,8 +68,8 @@
         }
     }
 
-    /// The successor is durable in the job's record: notifies it and passes the waiting
-    /// callers on to it.
+    /// Notifies the successor of a job, now that the job's record durably names it. Callers
+    /// that wait for the outcome get the successor's answer.
     pub(crate) fn on_handed_over(&mut self, id: JobId) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
--- a/crates/engine/src/submit.rs
+++ b/crates/engine/src/submit.rs
@@ -56,8 +56,9 @@
         }
         match self.admit(caller, &key, &submission) {
             Ok(entry) if stays_with_old_system(&entry, &key) => {
-                // It may have been accepted while the share was larger. If it were
-                // refused now, the caller would run it again in the old system.
+                // The submission may have been accepted while the entry's share of traffic was
+                // larger. If it were refused now, the caller would run it again in the old
+                // system.
                 let lookup = Lookup::Resubmission { ticket, key, submission, wait_ms };
                 self.look_up(lookup);
             }
@@ -193,8 +194,8 @@
         self.accept(ticket, admitted, wait_ms);
     }
 
-    /// Joins an earlier submission of the same key if its job runs here. Returns false
-    /// if there is none.
+    /// Joins an earlier submission with the same idempotency key if this daemon coordinates
+    /// its job. Returns `false` if there is none.
     fn join_existing_job(
         &mut self,
         ticket: Ticket,
@@ -310,7 +311,7 @@
     ) {
         match reply {
             Ok(PeerReply::Job(result)) => self.answer_job(ticket, result),
-            // The peer never received it, so it can run here.
+            // The peer never received the submission, so it can be accepted here.
             Err(error) if error.is_without_effect() => {
                 match self.admit(caller, &key, &submission) {
                     Ok(entry) => {
@@ -394,7 +395,8 @@
     }
 }
 
-/// The decision depends only on the key and the share, so every daemon decides alike.
+/// Whether a submission is left to the old system. This depends only on the key and the
+/// entry's share of traffic, so all daemons decide alike.
 fn stays_with_old_system(entry: &WorkEntry, key: &str) -> bool {
     xxh3_64(key.as_bytes()) % PERMILLE >= u64::from(entry.traffic_permille)
 }
--- a/crates/engine/src/worker_leases.rs
+++ b/crates/engine/src/worker_leases.rs
@@ -1,5 +1,6 @@
 //! Leases on workers, the reports of held workers, and start and stop calls.
 //!
+//! A daemon holds a worker while it has the lease on it.
 //! Each worker receives one start or stop call at a time, stops first, so that
 //! evicted tasks are stopped before the tasks that replace them start. A start
 //! without a reply is sent again with the same attempt; a worker starts an attempt
@@ -98,7 +99,7 @@
                 self.call_worker(WorkerOp::Lease(worker.clone(), acknowledged), &worker, call);
             }
             LeaseAction::Release { worker, token } => {
-                // Whatever the reply, nothing is placed on it from now on.
+                // Nothing is placed on the worker from now on, whatever it replies.
                 self.remove_held_worker(&worker);
                 let call = WorkerCall::Release { token };
                 self.call_worker(WorkerOp::Lease(worker.clone(), Vec::new()), &worker, call);
@@ -179,8 +180,8 @@
         };
         self.scheduler.remove_worker(worker);
         self.minions.remove_worker(worker);
-        // Starts that were never sent cannot have started. Those sent without a reply
-        // are left to an inquiry to the next holder.
+        // A start that was not sent cannot have taken effect. What became of a start that
+        // was sent and not answered, the coordinator learns from the worker's next holder.
         for start in held.unsent_starts {
             self.notify_coordinator(start.attempt, worker, &start.coordinator, Observation::Absent);
         }
@@ -228,7 +229,7 @@
 
     fn record_running(&mut self, worker: &WorkerId, report: &TaskReport) {
         let running = self.running_task(worker, report);
-        // A reservation for the same attempt on another worker is no longer needed.
+        // The attempt runs, so a reservation for it is no longer needed.
         self.remote.remove_reservation_for_peer(report.attempt);
         self.scheduler.add_running(report.attempt, running);
         let victims = self.scheduler.record_usage(self.now_ms, report.attempt, &report.usage);
@@ -247,8 +248,9 @@
         self.schedule_due = true;
     }
 
-    /// The scheduler's record of a task that a worker reports. If its entry is no longer
-    /// in the catalogue, the strictest values are assumed.
+    /// The scheduler's record of a task that a worker reports. If the task's work entry is
+    /// no longer in the catalogue, the values are assumed that protect the task best: it is
+    /// urgent and may run at most once, so it is never evicted.
     fn running_task(&self, worker: &WorkerId, report: &TaskReport) -> Running {
         let name = stoatwell_model::EntryName::new(&report.entry);
         let entry = self.catalogue.work(&name);
@@ -271,9 +273,10 @@
     }
 
     /// Queues a start on a worker that is held here. Returns `false` if the worker isn't
-    /// held or the attempt has no capacity allocated on it: if that was meanwhile given to
-    /// urgent work, or released because the attempt was reported as never started,
-    /// starting it would use the capacity twice.
+    /// held, or if the attempt has no capacity allocated on it. The capacity may have been
+    /// given to urgent work since the attempt was placed, or released because the attempt
+    /// was reported as never started. Starting the attempt would then use the capacity
+    /// twice.
     pub(crate) fn queue_start(&mut self, worker: &WorkerId, start: StartTask) -> bool {
         let running = self.scheduler.cell.running(start.attempt);
         if running.is_none_or(|running| running.worker != *worker) {
@@ -283,7 +286,7 @@
         let Some(held) = self.held.get_mut(worker) else {
             return false;
         };
-        // The capacity granted for this attempt is in use from now on.
+        // The capacity that a peer reserved for this attempt is in use from now on.
         self.remote.remove_reservation_for_peer(start.attempt);
         if !held.has_attempt(start.attempt) {
             held.unsent_starts.push(start);
@@ -385,7 +388,8 @@
                 }
             }
             Ok(WorkerReply::NotHolder { token, .. }) => {
-                // Only the next holder can tell whether an earlier copy of the start took effect.
+                // An earlier copy of the start may have taken effect. Only the worker's next
+                // holder can find out.
                 if self.leases.on_fenced(worker, token) == LeaseEvent::Lost {
                     self.remove_held_worker(worker);
                 }
