--- a/crates/placement/src/cell/mod.rs
+++ b/crates/placement/src/cell/mod.rs
@@ -1,10 +1,11 @@
 //! The workers that one daemon holds, the tasks on them, and their free capacity.
 //!
-//! Every change to a worker goes through [`Cell::refresh`], which updates three
-//! trees over each owner's workers: the free capacity, the free capacity including
-//! what is claimed for a reservation, and the capacity that would be free if all
-//! evictable tasks were evicted. A task counts with the larger of its allocation
-//! and its observed usage, so no worker is promised more than its capacity.
+//! The workers of an owner form a pool. For each pool there are three trees over the
+//! workers: of the free capacity, of the free capacity including what is reserved for a
+//! waiting job, and of the capacity that would be free if all evictable tasks were evicted.
+//! Every change to a worker goes through [`Cell::refresh`], which updates the trees. A task
+//! counts with the larger of its allocation and its observed usage, so no worker is
+//! promised more than its capacity.
 
 mod search;
 
@@ -49,23 +50,27 @@
     pub foreign: Resources,
     /// Sum over its tasks of the larger of demand and observed usage.
     pub allocated: Resources,
-    /// The owner that its target names; `None` if the catalogue has no target.
+    /// The owner whose work may run on it, named by the worker's target in the catalogue;
+    /// `None` if the catalogue has no target for the worker.
     pub owner: Option<OwnerName>,
     /// Attempts that run on it or are about to.
     pub tasks: Vec<AttemptId>,
+    /// Capacity reserved for waiting jobs; see [`crate::reservation`].
     reserved: Resources,
+    /// Sum over its evictable tasks, as in `allocated`.
     evictable: Resources,
     /// Tasks that count towards `tasks_max`. Gang tasks do not, because a gang
     /// starts as a whole or not at all.
     counted_tasks: u32,
-    /// Whether the catalogue allows new work to start here.
+    /// Whether its target allows new work to start here.
     serving: bool,
     quarantined: bool,
     tasks_max: Option<u32>,
+    /// Its position in the pool of its owner.
     position: usize,
 }
 
-/// The workers that serve one owner.
+/// The workers that serve one owner, and what the owner's tasks use of them.
 #[derive(Debug, Default)]
 struct OwnerPool {
     members: Vec<usize>,
@@ -75,6 +80,7 @@
     free_after_eviction: FitTree,
     free_generation: u64,
     capacity: Resources,
+    /// Sum over the owner's tasks of the larger of demand and observed usage.
     allocated: Resources,
     reserved: Resources,
     quota: Option<Resources>,
@@ -85,18 +91,18 @@
 pub enum CapacityView {
     /// Only free capacity.
     Free,
-    /// Free capacity and what is claimed for a reservation.
+    /// Free capacity and capacity that is reserved for a waiting job.
     FreeOrReserved,
 }
 
-/// A task that runs, or is about to.
+/// A task that is placed on a worker: it runs, or is about to.
 #[derive(Clone, Debug)]
 pub struct Running {
     /// The worker it is placed on.
     pub worker: WorkerId,
     /// The owner whose quota it counts towards.
     pub owner: OwnerName,
-    /// The catalogue entry it belongs to.
+    /// The work entry it belongs to.
     pub entry: EntryName,
     /// Class of its entry.
     pub class: Class,
@@ -110,9 +116,9 @@
     pub demand: Resources,
     /// Peak of the usage observed so far.
     pub peak_usage: Resources,
-    /// When it was placed, or adopted from its worker's report.
+    /// When it was placed, or first found in its worker's report.
     pub started_ms: UnixMs,
-    /// Whether it uses capacity that is claimed for a reservation.
+    /// Whether it uses capacity that is reserved for a waiting job.
     pub uses_reserved: bool,
 }
 
@@ -277,7 +283,7 @@
         self.refresh(index);
     }
 
-    /// Claims capacity of a worker for a reservation.
+    /// Reserves capacity of a worker for a waiting job.
     pub fn reserve(&mut self, index: usize, demand: &Resources) {
         self.workers[index].reserved = self.workers[index].reserved.plus(demand);
         if let Some(pool) = self.pool_of(index) {
@@ -286,7 +292,7 @@
         self.refresh(index);
     }
 
-    /// Releases claimed capacity.
+    /// Releases reserved capacity.
     pub fn release_reserved(&mut self, index: usize, demand: &Resources) {
         self.workers[index].reserved = self.workers[index].reserved.minus(demand);
         if let Some(pool) = self.pool_of(index) {
@@ -326,7 +332,7 @@
         self.running.get(&attempt)
     }
 
-    /// Number of tasks of an entry that run here.
+    /// Number of tasks of an entry that are placed on these workers.
     pub fn running_count_of(&self, entry: &EntryName) -> u32 {
         self.running_by_entry.get(entry).copied().unwrap_or(0)
     }
@@ -346,7 +352,8 @@
         self.pools.get(owner).map_or(0, |pool| pool.free_generation)
     }
 
-    /// Total capacity of an owner's workers, and how much of it the owner's tasks use.
+    /// Total capacity of an owner's workers, and how much of it is allocated to the owner's
+    /// tasks.
     pub fn usage(&self, owner: &OwnerName) -> (Resources, Resources) {
         self.pools
             .get(owner)
@@ -379,7 +386,7 @@
         }
     }
 
-    /// Whether a serving worker of this owner would fit this demand if it were empty.
+    /// Whether some serving worker of this owner, if it were empty, would fit this demand.
     pub fn could_fit(&self, owner: &OwnerName, demand: &Resources) -> bool {
         let Some(pool) = self.pools.get(owner) else {
             return false;
@@ -390,7 +397,8 @@
         })
     }
 
-    /// Whether the serving workers of this owner would fit this many tasks if they were empty.
+    /// Whether the serving workers of this owner, if they were empty, would fit this many
+    /// tasks.
     pub fn could_fit_all(&self, owner: &OwnerName, demand: &Resources, tasks: usize) -> bool {
         let Some(pool) = self.pools.get(owner) else {
             return false;
@@ -526,7 +534,7 @@
         self.free_or_reserved().minus(&self.reserved)
     }
 
-    /// Capacity available to new work, including what is claimed for a reservation.
+    /// Capacity available to new work, including what is reserved for a waiting job.
     pub fn free_or_reserved(&self) -> Resources {
         if !self.can_start_task() {
             return Resources::ZERO;
--- a/crates/placement/src/health.rs
+++ b/crates/placement/src/health.rs
@@ -1,10 +1,14 @@
-//! Failure tracking: quarantine of workers and hold-back of entries.
+//! Failure tracking of workers and of work entries.
 //!
-//! A single failure is weak evidence. If tasks of several different entries fail
-//! on a worker without a success in between, the worker is considered faulty. If
-//! an entry fails on several workers that run other entries well, the entry is.
-//! A worker on which every task fails immediately looks empty and attracts all
-//! work, so an unproven worker gets only a few tasks at a time.
+//! A single failure is weak evidence. If tasks of several different entries fail on a worker
+//! without a success in between, the worker is considered faulty. It is quarantined: it gets
+//! no new tasks for a while. If tasks of an entry fail on several workers that run other
+//! entries well, the entry is considered faulty. It is held back: none of its tasks start
+//! for a while. Both times double with each repetition, up to a maximum.
+//!
+//! A worker on which every task fails immediately looks empty and attracts all work. So a
+//! worker gets only a few tasks at a time until it is proven. A worker is proven once a task
+//! on it has succeeded, or has run for [`PROVEN_AFTER_MS`]; a quarantine ends this.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -24,7 +28,7 @@
 const HOLD_BACK_FAILURES: u32 = 8;
 /// Maximum number of concurrent tasks on an unproven worker.
 pub const UNPROVEN_TASKS_MAX: u32 = 4;
-/// A task that has run this long proves its worker, as a task that succeeds does.
+/// A task that has run this long counts as a success of its worker and its entry.
 pub const PROVEN_AFTER_MS: u64 = 2_000;
 const QUARANTINE_MS: u64 = 30_000;
 const QUARANTINE_MS_MAX: u64 = 30 * 60_000;
@@ -58,14 +62,14 @@
     hold_backs: u32,
 }
 
-/// Consequence of a failure.
+/// What changes for a worker or an entry after a task has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthChange {
-    /// There is too little evidence against either side.
+    /// Nothing changes: there is too little evidence against the worker and the entry.
     Unchanged,
     /// The worker gets no new tasks until its quarantine ends.
     WorkerQuarantined,
-    /// No tasks of the entry start until its hold-back ends.
+    /// No tasks of the entry start until it is no longer held back.
     EntryHeldBack,
 }
 
@@ -141,10 +145,10 @@
         }
     }
 
-    /// End of a worker's probation, or `None` if it is not on probation. During
-    /// probation, which follows a quarantine, the worker only gets work that may be
-    /// repeated. It ends after a fixed time even if no such work arrives; otherwise
-    /// a cell that runs only other work would never use the worker again.
+    /// End of a worker's probation, or `None` if it is not on probation. Probation follows a
+    /// quarantine. During it, the worker gets only work that may be repeated. It ends after a
+    /// fixed time even if no such work arrives; otherwise, where all work is of another kind,
+    /// the worker would never be used again.
     pub fn probation_until(&self, now_ms: UnixMs, worker: &WorkerId) -> Option<UnixMs> {
         let health = self.workers.get(worker)?;
         let until_ms = health.quarantine_until_ms + PROBATION_MS;
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,8 +1,9 @@
-//! Placement of tasks: one cell of workers is shared by work of different classes.
+//! Placement of tasks of all classes on the workers that one daemon holds, its cell.
 //!
 //! [`Scheduler`] combines the workers and their free resources ([`cell`]), the
 //! waiting jobs ([`queue`]), estimates of actual usage ([`usage`]) and the failure
-//! history of workers and entries ([`health`]). It is driven by events that carry
+//! history of workers and entries ([`health`]). An entry is the catalogue's description of
+//! one kind of work; every job belongs to one. The scheduler is driven by events that carry
 //! the current time, and never blocks. Only the daemon that holds a worker schedules
 //! on it, so no two schedulers can allocate the same capacity.
 
--- a/crates/placement/src/scheduler/mod.rs
+++ b/crates/placement/src/scheduler/mod.rs
@@ -1,9 +1,10 @@
 //! Decides which waiting tasks start now, and on which workers.
 //!
-//! A scheduling cycle visits the entries by urgency, then by the share of capacity
-//! that their owners use, then by deadline and age. An entry whose first jobs do not
-//! fit is skipped until capacity becomes free, so it does not block others. A job
-//! that has waited too long gets a reservation, so nothing waits for ever.
+//! A scheduling cycle visits the work entries that have waiting jobs: by urgency, then by
+//! the share of capacity that their owners use, then by the deadline and the age of the
+//! first job. An entry whose first jobs do not fit is skipped until capacity becomes free,
+//! so it does not block others. A job that has waited too long gets a reservation, so no
+//! job waits for ever.
 
 mod place;
 mod reserve;
@@ -48,22 +49,26 @@
 /// Maximum number of evictions in one scheduling cycle, so that a burst of urgent work
 /// does not clear the cell.
 const EVICTIONS_PER_CYCLE: usize = 256;
-/// Capacity that patient work leaves free if its owner's weights favour only `waiting`,
-/// in thousandths.
+/// Largest share of an owner's capacity that its work of patient urgency leaves free, in
+/// thousandths. The share is largest if the owner's weight `packing` is 0. It is 0 unless
+/// the weight `waiting` exceeds `packing`.
 const HEADROOM_PERMILLE_MAX: u64 = 120;
 const PERMILLE: u64 = 1_000;
 
 /// Parameters of the scheduler.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
-    /// For each such time that a job has waited, it ranks one urgency level higher. This
-    /// does not entitle it to evict others.
+    /// Waiting time after which a job ranks one urgency level higher. It rises by another
+    /// level each time the same time has passed. A higher rank does not entitle a job to
+    /// evict others.
     pub aging_ms: u64,
     /// Waiting time after which a job that does not fit gets a reservation.
     pub reserve_after_ms: u64,
-    /// How long a reservation lasts, and how long its job is skipped after it expires.
+    /// How long a reservation lasts. After it has expired, its job is skipped for the same
+    /// time.
     pub reserve_ms: u64,
-    /// Whether demands are estimated from past usage rather than taken as declared.
+    /// Whether the demand of a task is estimated from past usage; otherwise the declared
+    /// demand is used.
     pub use_estimates: bool,
 }
 
@@ -115,7 +120,7 @@
 pub struct Counters {
     /// Tasks placed on a worker.
     pub placed: u64,
-    /// Tries to place a task that failed for want of a worker or because of a limit.
+    /// Failed attempts to place a task: no worker fits it, or a limit is reached.
     pub refused: u64,
     /// Tasks evicted to make room for others.
     pub evicted: u64,
@@ -125,7 +130,7 @@
     pub reservations: u64,
     /// Quarantines of workers.
     pub quarantines: u64,
-    /// Hold-backs of entries.
+    /// Number of times that an entry was held back because its tasks kept failing.
     pub held_back: u64,
 }
 
@@ -147,7 +152,8 @@
     /// Maximum number of an entry's tasks that run here at once.
     running_max: HashMap<EntryName, u32>,
     reservations: BTreeMap<OwnerName, Reservation>,
-    /// Tasks and the time at which each proves its worker if it is still running.
+    /// Tasks that have not run for [`PROVEN_AFTER_MS`] yet, each with the time at which it has
+    /// and counts as a success.
     pending_successes: Vec<(UnixMs, AttemptId)>,
     /// Workers and the time at which their quarantine or probation ends.
     health_rechecks: Vec<(UnixMs, WorkerId)>,
@@ -172,7 +178,8 @@
         self.cell.remove_worker(worker)
     }
 
-    /// Applies a worker's target; `None` if the catalogue has none for it.
+    /// Applies a worker's target, which assigns the worker to an owner; `None` if the
+    /// catalogue has no target for the worker.
     pub fn set_target(&mut self, worker: &WorkerId, target: Option<&Target>) {
         let serving = target.is_some_and(|target| target.state == TargetState::Serving);
         if !serving {
@@ -413,7 +420,7 @@
         }
     }
 
-    /// Entries that are not blocked, in scheduling order.
+    /// Entries to visit, in scheduling order. Blocked ones are left out.
     fn entry_order(&self, now_ms: UnixMs) -> Vec<(EntryName, Urgency)> {
         let mut keyed = Vec::new();
         for entry_queue in self.queue.entry_queues() {
@@ -438,9 +445,10 @@
         keyed.into_iter().map(|(_, entry)| entry).collect()
     }
 
-    /// Whether no capacity has become free since the first jobs of an entry did not
-    /// fit. A lower demand estimate or the end of a job's deferral is not visible in
-    /// the free generation, so the entry is retried after a while in any case.
+    /// Whether an entry is skipped, because its first jobs did not fit and no capacity has
+    /// become free since. The free generation shows only free capacity. It does not show that
+    /// the estimated demand fell, or that the time before which a job is skipped is over. The
+    /// entry is therefore retried after [`BLOCKED_RETRY_MS`] in any case.
     fn is_blocked(&self, now_ms: UnixMs, entry_queue: &EntryQueue) -> bool {
         let Some((free_generation, since_ms)) = entry_queue.blocked_at else {
             return false;
@@ -488,7 +496,7 @@
     }
 }
 
-/// How a task ended, as far as the health of its worker and entry is concerned.
+/// How a task ended, as far as this matters for the health of its worker and entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskEnd {
     /// It ended by itself, with success.
--- a/crates/placement/src/scheduler/place.rs
+++ b/crates/placement/src/scheduler/place.rs
@@ -168,7 +168,7 @@
         if job.urgency != Urgency::Patient {
             return true;
         }
-        // Patient work leaves headroom for the next jobs of an owner that prefers short waits.
+        // If an owner prefers short waits, its patient work leaves headroom for its next jobs.
         let weights = self.weights.get(&job.owner).copied().unwrap_or_default();
         let total_weight = u64::from(weights.waiting + weights.packing).max(1);
         let waiting_excess = (u64::from(weights.waiting) * 2).saturating_sub(total_weight);
--- a/crates/placement/src/scheduler/reserve.rs
+++ b/crates/placement/src/scheduler/reserve.rs
@@ -23,8 +23,8 @@
         }
         let demand = self.demand(job);
         let tasks = if job.class == Class::Gang { job.tasks.len() } else { 1 };
-        // A gang that is too large for these workers gathers capacity at several
-        // daemons; a reservation here would only get in the way of other jobs.
+        // A gang that is too large for these workers collects capacity at several daemons.
+        // A reservation here would only keep capacity from other jobs.
         if !self.cell.could_fit_all(&job.owner, &demand, tasks) {
             return;
         }
@@ -35,8 +35,8 @@
         self.counters.reservations += 1;
     }
 
-    /// Claims free capacity for each reservation, starts the jobs of complete ones and
-    /// ends expired ones.
+    /// Reserves free capacity for each reservation, starts the jobs of complete
+    /// reservations and ends expired ones.
     pub(super) fn advance_reservations(&mut self, now_ms: UnixMs, decisions: &mut Vec<Decision>) {
         let owners: Vec<OwnerName> = self.reservations.keys().cloned().collect();
         for owner in owners {
@@ -86,7 +86,7 @@
             if !self.cell.worker_at(index).is_schedulable() {
                 break;
             }
-            // Evicts work that uses the claimed capacity.
+            // Work that uses the reserved capacity is evicted.
             let Some((_, evict)) = self.cell.victims(index, &reservation.demand, now_ms) else {
                 break;
             };
@@ -127,7 +127,7 @@
         };
         for reservation in self.reservations.values_mut() {
             let before = reservation.reserved_workers.len();
-            reservation.reserved_workers.retain(|reserved| reserved != worker);
+            reservation.reserved_workers.retain(|reserved_worker| reserved_worker != worker);
             for _ in reservation.reserved_workers.len()..before {
                 self.cell.release_reserved(index, &reservation.demand);
             }
--- a/crates/routing/src/minions.rs
+++ b/crates/routing/src/minions.rs
@@ -60,7 +60,7 @@
 /// How a request to a minion ended, for its slots and breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// The minion answered, with success or with an error.
+    /// The minion answered, with success or with an error, or the request was not sent.
     NoFailure,
     /// No answer arrived, or no connection was made.
     Failed,
