--- a/crates/ledger/src/committer.rs
+++ b/crates/ledger/src/committer.rs
@@ -1,13 +1,13 @@
 //! Group commit: combines many small writes into few transactions.
 //!
-//! The table handles several hundred writes per second for the whole cell. Each daemon
-//! therefore has at most one transaction in flight, fills it with the waiting writes,
-//! and limits the rate of transactions. After an outage, the same limit paces the
-//! backlog.
+//! The table handles several hundred writes per second from all daemons together. Each
+//! daemon therefore has at most one transaction in flight, fills it with the waiting
+//! writes, and limits the rate of transactions. After an outage, the same limit applies
+//! to the backlog.
 //!
-//! A response can be lost after the write took effect. The same transaction is then
-//! sent again. If the first one had taken effect, the checks of the second one fail,
-//! and the write ids in the returned rows show that they were written by the first one.
+//! A response can be lost after the transaction took effect. The same transaction is then
+//! sent again. Its checks fail, and the write ids in the returned rows show that the rows
+//! were written when it was sent first.
 
 use std::collections::HashSet;
 use std::collections::VecDeque;
@@ -38,8 +38,8 @@
     pub deletes: Vec<String>,
     /// Unique identifier of this write, also contained in the written row.
     pub write_id: u64,
-    /// From this time on, the write is withdrawn if it certainly was not sent; `None`
-    /// means never.
+    /// Time from which the write is withdrawn, unless it may have been sent. `None` means
+    /// never.
     pub expires_ms: Option<UnixMs>,
 }
 
--- a/crates/ledger/src/machine/mod.rs
+++ b/crates/ledger/src/machine/mod.rs
@@ -1,10 +1,11 @@
 //! State machine of one job at its coordinator, the daemon that schedules it.
 //!
 //! A task waits, is placed on a worker, has its intent recorded if necessary, starts,
-//! runs and ends. For work that must not run twice, the intent is durable before the
-//! start is sent, and no second intent is written until the worker proves that the
-//! first attempt is over: it ended, or it never started and never will. The outcome
-//! "not run" is only ever reported with that proof.
+//! runs and ends. An intent names the attempt that is about to start and its worker. For
+//! work that must not run twice, the intent is durable before the start is sent. No second
+//! intent is written until the worker proves that the first attempt is over: it ended, or
+//! it never started and never will. The outcome "not run" is only ever reported with that
+//! proof.
 
 mod gang;
 mod outcome;
@@ -145,7 +146,8 @@
         found
     }
 
-    /// Attempts that may be running, with their workers.
+    /// Attempts whose start may have been sent and that are not known to have ended, with
+    /// their workers.
     pub fn possibly_running(&self) -> Vec<(AttemptId, WorkerId)> {
         let mut found = Vec::new();
         for (index, task) in self.tasks.iter().enumerate() {
@@ -252,7 +254,8 @@
         vec![JobEffect::Start(starts)]
     }
 
-    /// Handles the assignment of a request to a minion; the intent is written first.
+    /// Handles the assignment of a request to a minion, the server process that answers it.
+    /// The intent is written before the request is sent.
     pub fn on_routed(&mut self, worker: &WorkerId, token: Token, minion: &str) -> Vec<JobEffect> {
         let attempt = self.attempt(0);
         if self.tasks[0].phase != Phase::Waiting {
@@ -404,7 +407,7 @@
             return Vec::new();
         }
         match self.record.execution {
-            // A lost worker runs nothing any more, so both may run again.
+            // A lost worker runs nothing any more, so work of both kinds may run again.
             Execution::Idempotent | Execution::Exclusive => self.on_stopped(now_ms, attempt),
             Execution::AtMostOnce => {
                 self.tasks[attempt.task as usize].phase = Phase::Lost;
@@ -478,7 +481,7 @@
         self.former_zone.as_ref()
     }
 
-    /// Number of tasks in each phase, for people.
+    /// Number of tasks in each phase, shown to operators.
     pub fn phases(&self) -> BTreeMap<&'static str, usize> {
         let mut phases = BTreeMap::new();
         for task in &self.tasks {
@@ -492,7 +495,7 @@
         self.write_in_flight
     }
 
-    /// Whether any start is about to be sent or in flight, or any task may be running.
+    /// Whether any task may be running, or may start once the write in flight took effect.
     pub fn is_active(&self) -> bool {
         self.tasks
             .iter()
--- a/crates/ledger/src/machine/phase.rs
+++ b/crates/ledger/src/machine/phase.rs
@@ -32,9 +32,9 @@
 
 /// Number of the first attempt within an epoch.
 ///
-/// Each epoch has its own range of numbers. If two successive coordinators used the
-/// same id for starts on different workers, a report of one worker would be taken for
-/// a report of the other.
+/// Each epoch has its own range of numbers, so that two successive coordinators never use
+/// the same number for starts on different workers. Otherwise a report of one worker would
+/// be taken for a report of the other.
 pub(super) fn first_attempt(epoch: u64) -> u32 {
     ((epoch.saturating_sub(1) as u32) << ATTEMPT_BITS) + 1
 }
@@ -45,7 +45,7 @@
         matches!(self, Self::Starting | Self::Running)
     }
 
-    /// Name of the phase in dumps, for people.
+    /// Name of the phase in dumps, shown to operators.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::Waiting => "waiting",
