--- a/crates/engine/tests/failures.rs
+++ b/crates/engine/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Single failures that the cell must survive, and the worst pairs of them.
+//! Single failures, and the worst pairs of them, that the daemons must handle together.
 
 use stoatwell_catalogue::Item;
 use stoatwell_catalogue::edit::EditKind;
@@ -60,8 +60,8 @@
     world.engine(node).catalogue().target(worker).cloned().expect("a target")
 }
 
-/// An entry instance crashes, which ends the connections of its callers. The other
-/// daemons of the zone must take over its workers and jobs within seconds.
+/// A daemon crashes, which ends the connections of its callers. Within seconds, the other
+/// daemons of the zone must take over its jobs and hold its workers.
 #[test]
 fn zone_serves_again_after_a_holder_died() {
     let mut world = warmed_up_world();
@@ -85,9 +85,9 @@
     assert_eq!(held_by_1 + held_by_2, 4, "the live daemons hold all workers of the zone");
 }
 
-/// A daemon is paused while it works, other daemons take over its workers and
-/// jobs, and then it resumes where it stopped. Without fencing, an exclusive
-/// task would run in two places.
+/// A daemon is paused while it works. Other daemons take over its jobs and acquire the
+/// leases on its workers, and then it resumes where it stopped. Without fencing, an
+/// exclusive task would run in two places.
 #[test]
 fn paused_daemon_that_wakes_up_starts_nothing_twice() {
     for seed in 0..20 {
@@ -395,9 +395,9 @@
     run_until_outcome(&mut world, "too-large", 20_000);
 }
 
-/// A share of the traffic moves back to the old system. A job that was accepted
-/// before must not be refused as one for the old system when its key is submitted
-/// again, or both systems would run it.
+/// A share of the traffic moves back to the old system, after a job from this share was
+/// accepted. When the job's key is submitted again, it must not be refused as work for the
+/// old system, or both systems would run the job.
 #[test]
 fn order_taken_before_the_share_moved_is_joined() {
     let mut world = warmed_up_world();
@@ -465,9 +465,9 @@
     assert_eq!(world.rows("done/").len(), 0);
 }
 
-/// Only one task of an entry may run in the whole cell, whichever daemons
-/// coordinate its jobs. If the limit were split by rounding down, no daemon could
-/// start any.
+/// Only one task of an entry may run at a time on the workers of all daemons together,
+/// whichever daemons coordinate its jobs. If each daemon's share of the limit were rounded
+/// down, no daemon could start any.
 #[test]
 fn limit_of_one_task_holds_over_all_daemons() {
     let mut world = warmed_up_world();
--- a/crates/engine/tests/model.rs
+++ b/crates/engine/tests/model.rs
@@ -1,11 +1,10 @@
-//! A bounded model checker for the protocol of leases, intents and take-overs.
+//! A bounded model checker for the protocol of leases, intents and takeovers.
 //!
 //! The model has two daemons, one worker and one task that may run at most once.
-//! A pause is modelled by steps of the other daemon in between, a crash by a
-//! daemon that takes no more steps, and a start that was sent may arrive at any
-//! later time, twice or never. The checker visits all states breadth first. The
-//! broken variants show that it finds the fault that each part of the protocol
-//! prevents.
+//! A daemon is paused if only the other one takes steps, and has crashed if it takes no
+//! more steps. A start that was sent may arrive at any later time, twice or never. The
+//! checker visits all states breadth first. In each broken variant one part of the protocol
+//! is left out, to show that the checker finds the fault that this part prevents.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -25,7 +24,7 @@
     NoIntent,
     /// A holder reports "never started" while its own start is in flight.
     EarlyProof,
-    /// A daemon that lost the job to a take-over can still write the outcome.
+    /// A daemon that lost the job by a takeover can still write the outcome.
     NoEpoch,
 }
 
@@ -127,11 +126,11 @@
         if self.epoch < EPOCHS && self.outcome == Outcome::Open {
             steps.push(("takes the job over", self.take_over(who)));
         }
-        // A write is conditional on the row's version, which each take-over changes.
+        // A write is conditional on the row's version, which each takeover changes.
         let can_write = me.epoch == self.epoch && self.coordinator == who
             || variant == Variant::NoEpoch && me.epoch > 0;
-        let settled = self.intent.is_none() || me.proof;
-        if can_write && self.outcome == Outcome::Open && settled {
+        let no_attempt_may_run = self.intent.is_none() || me.proof;
+        if can_write && self.outcome == Outcome::Open && no_attempt_may_run {
             steps.push((
                 "writes that it did not run",
                 Self { outcome: Outcome::NotRun, ..self.clone() },
@@ -148,7 +147,9 @@
             steps.push(("sends a start without an intent", self.send((1, me.token))));
         }
         if me.epoch > 0 {
-            steps.extend(self.ask(who, variant).map(|state| ("asks the worker's holder", state)));
+            steps.extend(
+                self.inquire(who, variant).map(|state| ("asks the worker's holder", state)),
+            );
         }
         steps
     }
@@ -207,9 +208,9 @@
         state
     }
 
-    /// Asks the worker's holder what became of the intent in the row; `None` if there
-    /// is no intent, no holder or no answer yet.
-    fn ask(&self, who: usize, variant: Variant) -> Option<Self> {
+    /// Inquires at the worker's holder about the attempt of the intent in the row. `None` if
+    /// there is no intent, no holder or no answer yet.
+    fn inquire(&self, who: usize, variant: Variant) -> Option<Self> {
         let (attempt, token) = self.intent?;
         let holder = (0..2).find(|other| self.held && self.daemons[*other].token == self.token)?;
         let mut state = self.clone();
@@ -261,9 +262,10 @@
     Ok(seen.len())
 }
 
-/// A daemon is paused past its lease, another takes over its worker and its job,
-/// and the first one resumes in the middle of a start. No order of these steps and
-/// of late messages may start the task twice, or report "not run" for one that started.
+/// A daemon is paused until its lease has expired. Another one acquires the lease and takes
+/// the job over, and the first one resumes in the middle of a start. No order of these
+/// steps and of late messages may start the task twice, or report "not run" for a task that
+/// started.
 #[test]
 fn no_interleaving_breaks_a_guarantee() {
     let states = explore(Variant::Complete).expect("no violation");
--- a/crates/placement/tests/policy.rs
+++ b/crates/placement/tests/policy.rs
@@ -98,8 +98,8 @@
     all
 }
 
-/// Every task on a broken worker fails immediately. The worker always looks empty, so
-/// without a limit it would attract and fail all work of the cell.
+/// Every task on a broken worker fails immediately, so the worker always looks empty.
+/// Without a limit it would attract all work, which would fail.
 #[test]
 fn failing_worker_is_quarantined_after_few_starts() {
     let mut scheduler = mark_proven(scheduler_with(6), 6);
@@ -191,8 +191,8 @@
     assert!(reasons.iter().any(|reason| reason.contains("processors")), "{reasons:?}");
 }
 
-/// Part of a gang is of no use, and two gangs that have each started in part and wait
-/// for the other's capacity would block the cell for ever.
+/// Part of a gang is of no use. Two gangs that have each started in part and wait for each
+/// other's capacity would block these workers for ever.
 #[test]
 fn gangs_start_as_a_whole_and_do_not_deadlock() {
     let mut scheduler = mark_proven(scheduler_with(2), 2);
@@ -302,8 +302,14 @@
             stopped.insert(victim);
         }
     }
-    let slot = scheduler.cell.worker_info(&WorkerId::new("w0")).expect("the worker is in the cell");
-    assert!(slot.capacity.holds(&slot.allocated), "{:?} of {:?}", slot.allocated, slot.capacity);
+    let worker_info =
+        scheduler.cell.worker_info(&WorkerId::new("w0")).expect("the worker is in the cell");
+    assert!(
+        worker_info.capacity.holds(&worker_info.allocated),
+        "{:?} of {:?}",
+        worker_info.allocated,
+        worker_info.capacity
+    );
 }
 
 /// Without a quota, the work of one owner could displace that of all others.
@@ -349,7 +355,7 @@
     let racks: BTreeSet<String> = tasks
         .iter()
         .filter_map(|task| scheduler.cell.worker_info(&task.worker))
-        .map(|slot| slot.rack.clone())
+        .map(|worker_info| worker_info.rack.clone())
         .collect();
     assert_eq!((tasks.len(), racks.len()), (4, 4));
 }
