--- a/crates/engine/src/seal.rs
+++ b/crates/engine/src/seal.rs
@@ -1,4 +1,8 @@
-//! Recorded requests without an answer: the minion is asked for their outcome.
+//! Recorded requests without an answer.
+//!
+//! The minion is asked for the outcome by a call named seal. If the request never arrived
+//! at the minion, the seal bars it: the minion refuses the request from then on, so "not
+//! run" is a safe outcome.
 
 use stoatwell_model::AttemptId;
 use stoatwell_model::Class;
@@ -19,10 +23,11 @@
 const SEAL_RETRY_MS: u64 = 1_000;
 
 impl Engine {
-    /// Handles a recorded request that got no answer: it isn't sent again, the callers
-    /// are told at once that its outcome is unknown, and the minion is asked for it.
-    pub(crate) fn on_request_unanswered(&mut self, number: u64) {
-        let Some(request) = self.requests.remove(&number) else {
+    /// Handles a recorded request that got no answer. The request isn't sent again. The
+    /// callers learn at once that its outcome is unknown, and the minion is asked for the
+    /// outcome.
+    pub(crate) fn on_request_unanswered(&mut self, request_id: u64) {
+        let Some(request) = self.requests.remove(&request_id) else {
             return;
         };
         let id = request.record.job;
@@ -43,8 +48,8 @@
         self.answer_waiters(id, &view);
     }
 
-    /// Asks the minion of a recorded request for its outcome; a minion that never
-    /// received it refuses it from then on.
+    /// Asks the minion of a recorded request for the request's outcome. A minion that never
+    /// received the request refuses it from then on.
     pub(crate) fn seal_request(&mut self, id: JobId) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -68,7 +73,7 @@
         if self.is_worker_gone(&intent.worker) {
             let detail = format!("worker {} of its minion is gone", intent.worker);
             let outcome = Outcome::Unknown { code: Code::OutcomeUnknown, detail };
-            return self.finish_request(id, outcome);
+            return self.finish_recorded_request(id, outcome);
         }
         let call = MinionCall::Seal { attempt };
         self.call_minion(MinionOp::Seal(id), MinionId::new(minion), address.to_owned(), call);
@@ -83,16 +88,16 @@
         }
         match reply {
             Ok(MinionReply::Answer { body }) => {
-                self.finish_request(id, Outcome::Done { answer: body });
+                self.finish_recorded_request(id, Outcome::Done { answer: body });
             }
             Ok(MinionReply::NeverStarted) => {
-                self.finish_request(
+                self.finish_recorded_request(
                     id,
                     not_run(Code::NoMinion, "the minion never got it and refuses it now"),
                 );
             }
             Ok(MinionReply::Failed { reason }) => {
-                self.finish_request(
+                self.finish_recorded_request(
                     id,
                     Outcome::Failed { code: Code::MinionFailed, detail: reason },
                 );
--- a/crates/ledger/src/machine/mod.rs
+++ b/crates/ledger/src/machine/mod.rs
@@ -1,10 +1,11 @@
 //! State machine of one job at its coordinator, the daemon that schedules it.
 //!
 //! A task waits, is placed on a worker, has its intent recorded if necessary, starts,
-//! runs and ends. For work that must not run twice, the intent is durable before the
-//! start is sent, and no second intent is written until the worker proves that the
-//! first attempt is over: it ended, or it never started and never will. The outcome
-//! "not run" is only ever reported with that proof.
+//! runs and ends. An intent names the attempt that is about to start and its worker. For
+//! work that must not run twice, the intent is durable before the start is sent. No second
+//! intent is written until the worker proves that the first attempt is over: it ended, or
+//! it never started and never will. The outcome "not run" is only ever reported with that
+//! proof.
 
 mod gang;
 mod outcome;
@@ -145,11 +146,12 @@
         found
     }
 
-    /// Attempts that may be running, with their workers.
-    pub fn active(&self) -> Vec<(AttemptId, WorkerId)> {
+    /// Attempts whose start may have been sent and that are not known to have ended, with
+    /// their workers.
+    pub fn possibly_running(&self) -> Vec<(AttemptId, WorkerId)> {
         let mut found = Vec::new();
         for (index, task) in self.tasks.iter().enumerate() {
-            if task.phase.may_run()
+            if task.phase.may_be_running()
                 && let Some(worker) = &task.worker
             {
                 found.push((self.attempt(index), worker.clone()));
@@ -252,7 +254,8 @@
         vec![JobEffect::Start(starts)]
     }
 
-    /// Handles the assignment of a request to a minion; the intent is written first.
+    /// Handles the assignment of a request to a minion, the server process that answers it.
+    /// The intent is written before the request is sent.
     pub fn on_routed(&mut self, worker: &WorkerId, token: Token, minion: &str) -> Vec<JobEffect> {
         let attempt = self.attempt(0);
         if self.tasks[0].phase != Phase::Waiting {
@@ -362,7 +365,7 @@
         let Some(task) = self.current_task_mut(attempt) else {
             return Vec::new();
         };
-        if !task.phase.may_run() && task.phase != Phase::InDoubt {
+        if !task.phase.may_be_running() && task.phase != Phase::InDoubt {
             return Vec::new();
         }
         self.record.started = true;
@@ -382,7 +385,7 @@
         let Some(task) = self.current_task_mut(attempt) else {
             return Vec::new();
         };
-        if !task.phase.may_run() && task.phase != Phase::InDoubt {
+        if !task.phase.may_be_running() && task.phase != Phase::InDoubt {
             return Vec::new();
         }
         if self.record.cancelled {
@@ -400,11 +403,11 @@
         let Some(task) = self.current_task_mut(attempt) else {
             return Vec::new();
         };
-        if !task.phase.may_run() && task.phase != Phase::InDoubt {
+        if !task.phase.may_be_running() && task.phase != Phase::InDoubt {
             return Vec::new();
         }
         match self.record.execution {
-            // A lost worker runs nothing any more, so both may run again.
+            // A lost worker runs nothing any more, so work of both kinds may run again.
             Execution::Idempotent | Execution::Exclusive => self.on_stopped(now_ms, attempt),
             Execution::AtMostOnce => {
                 self.tasks[attempt.task as usize].phase = Phase::Lost;
@@ -428,7 +431,7 @@
             }
         }
         let active: Vec<AttemptId> =
-            self.active().into_iter().map(|(attempt, _)| attempt).collect();
+            self.possibly_running().into_iter().map(|(attempt, _)| attempt).collect();
         if !active.is_empty() {
             effects.push(JobEffect::Stop(active));
         }
@@ -478,7 +481,7 @@
         self.former_zone.as_ref()
     }
 
-    /// Number of tasks in each phase, for people.
+    /// Number of tasks in each phase, shown to operators.
     pub fn phases(&self) -> BTreeMap<&'static str, usize> {
         let mut phases = BTreeMap::new();
         for task in &self.tasks {
@@ -492,9 +495,11 @@
         self.write_in_flight
     }
 
-    /// Whether any start is about to be sent or in flight, or any task may be running.
+    /// Whether any task may be running, or may start once the write in flight took effect.
     pub fn is_active(&self) -> bool {
-        self.tasks.iter().any(|task| task.phase.may_run() || task.phase == Phase::WritingIntent)
+        self.tasks
+            .iter()
+            .any(|task| task.phase.may_be_running() || task.phase == Phase::WritingIntent)
     }
 
     /// Adds a line to the history that `explain` shows; the oldest line may be dropped.
@@ -510,8 +515,10 @@
         if let Some(outcome) = self.durable_outcome() {
             return outcome.state();
         }
-        let has_running_task =
-            self.tasks.iter().any(|task| task.phase.may_run() || task.phase == Phase::InDoubt);
+        let has_running_task = self
+            .tasks
+            .iter()
+            .any(|task| task.phase.may_be_running() || task.phase == Phase::InDoubt);
         if has_running_task || self.tasks.iter().any(|task| task.phase == Phase::Done) {
             return JobState::Running;
         }
@@ -524,7 +531,7 @@
         let mut running = 0;
         let mut done = 0;
         for task in &self.tasks {
-            running += u32::from(task.phase.may_run());
+            running += u32::from(task.phase.may_be_running());
             done += u32::from(task.phase == Phase::Done);
             if let Some(worker) = &task.worker
                 && workers.len() < WORKERS_SHOWN
--- a/crates/ledger/src/machine/phase.rs
+++ b/crates/ledger/src/machine/phase.rs
@@ -32,20 +32,20 @@
 
 /// Number of the first attempt within an epoch.
 ///
-/// Each epoch has its own range of numbers. If two successive coordinators used the
-/// same id for starts on different workers, a report of one worker would be taken for
-/// a report of the other.
+/// Each epoch has its own range of numbers, so that two successive coordinators never use
+/// the same number for starts on different workers. Otherwise a report of one worker would
+/// be taken for a report of the other.
 pub(super) fn first_attempt(epoch: u64) -> u32 {
     ((epoch.saturating_sub(1) as u32) << ATTEMPT_BITS) + 1
 }
 
 impl Phase {
     /// Whether a start may have been sent and the end of the task is not known.
-    pub(super) fn may_run(self) -> bool {
+    pub(super) fn may_be_running(self) -> bool {
         matches!(self, Self::Starting | Self::Running)
     }
 
-    /// Name of the phase in dumps, for people.
+    /// Name of the phase in dumps, shown to operators.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::Waiting => "waiting",
--- a/crates/placement/src/scheduler/mod.rs
+++ b/crates/placement/src/scheduler/mod.rs
@@ -1,9 +1,10 @@
 //! Decides which waiting tasks start now, and on which workers.
 //!
-//! A scheduling cycle visits the entries by urgency, then by the share of capacity
-//! that their owners use, then by deadline and age. An entry whose first jobs do not
-//! fit is skipped until capacity becomes free, so it does not block others. A job
-//! that has waited too long gets a reservation, so nothing waits for ever.
+//! A scheduling cycle visits the work entries that have waiting jobs: by urgency, then by
+//! the share of capacity that their owners use, then by the deadline and the age of the
+//! first job. An entry whose first jobs do not fit is skipped until capacity becomes free,
+//! so it does not block others. A job that has waited too long gets a reservation, so no
+//! job waits for ever.
 
 mod place;
 mod reserve;
@@ -31,8 +32,8 @@
 use crate::cell::Cell;
 use crate::cell::Running;
 use crate::health::Health;
+use crate::health::HealthChange;
 use crate::health::PROVEN_AFTER_MS;
-use crate::health::Verdict;
 use crate::queue::EntryQueue;
 use crate::queue::Queue;
 use crate::queue::WaitingJob;
@@ -48,22 +49,26 @@
 /// Maximum number of evictions in one scheduling cycle, so that a burst of urgent work
 /// does not clear the cell.
 const EVICTIONS_PER_CYCLE: usize = 256;
-/// Capacity that patient work leaves free if its owner's weights favour only `waiting`,
-/// in thousandths.
+/// Largest share of an owner's capacity that its work of patient urgency leaves free, in
+/// thousandths. The share is largest if the owner's weight `packing` is 0. It is 0 unless
+/// the weight `waiting` exceeds `packing`.
 const HEADROOM_PERMILLE_MAX: u64 = 120;
 const PERMILLE: u64 = 1_000;
 
 /// Parameters of the scheduler.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
-    /// For each such time that a job has waited, it ranks one urgency level higher. This
-    /// does not entitle it to evict others.
+    /// Waiting time after which a job ranks one urgency level higher. It rises by another
+    /// level each time the same time has passed. A higher rank does not entitle a job to
+    /// evict others.
     pub aging_ms: u64,
     /// Waiting time after which a job that does not fit gets a reservation.
     pub reserve_after_ms: u64,
-    /// How long a reservation lasts, and how long its job is skipped after it expires.
+    /// How long a reservation lasts. After it has expired, its job is skipped for the same
+    /// time.
     pub reserve_ms: u64,
-    /// Whether demands are estimated from past usage rather than taken as declared.
+    /// Whether the demand of a task is estimated from past usage; otherwise the declared
+    /// demand is used.
     pub use_estimates: bool,
 }
 
@@ -115,7 +120,7 @@
 pub struct Counters {
     /// Tasks placed on a worker.
     pub placed: u64,
-    /// Tries to place a task that failed for want of a worker or because of a limit.
+    /// Failed attempts to place a task: no worker fits it, or a limit is reached.
     pub refused: u64,
     /// Tasks evicted to make room for others.
     pub evicted: u64,
@@ -125,7 +130,7 @@
     pub reservations: u64,
     /// Quarantines of workers.
     pub quarantines: u64,
-    /// Hold-backs of entries.
+    /// Number of times that an entry was held back because its tasks kept failing.
     pub held_back: u64,
 }
 
@@ -147,8 +152,9 @@
     /// Maximum number of an entry's tasks that run here at once.
     running_max: HashMap<EntryName, u32>,
     reservations: BTreeMap<OwnerName, Reservation>,
-    /// Tasks and the time at which each proves its worker if it is still running.
-    unproven_tasks: Vec<(UnixMs, AttemptId)>,
+    /// Tasks that have not run for [`PROVEN_AFTER_MS`] yet, each with the time at which it has
+    /// and counts as a success.
+    pending_successes: Vec<(UnixMs, AttemptId)>,
     /// Workers and the time at which their quarantine or probation ends.
     health_rechecks: Vec<(UnixMs, WorkerId)>,
 }
@@ -168,15 +174,16 @@
 
     /// Removes a worker and returns its tasks, which are no longer counted here.
     pub fn remove_worker(&mut self, worker: &WorkerId) -> Vec<AttemptId> {
-        self.drop_claims_on(worker);
+        self.drop_reserved_on(worker);
         self.cell.remove_worker(worker)
     }
 
-    /// Applies a worker's target; `None` if the catalogue has none for it.
+    /// Applies a worker's target, which assigns the worker to an owner; `None` if the
+    /// catalogue has no target for the worker.
     pub fn set_target(&mut self, worker: &WorkerId, target: Option<&Target>) {
         let serving = target.is_some_and(|target| target.state == TargetState::Serving);
         if !serving {
-            self.drop_claims_on(worker);
+            self.drop_reserved_on(worker);
         }
         self.cell.set_target(worker, target.map(|target| &target.owner), serving);
     }
@@ -205,9 +212,9 @@
     }
 
     /// Adds a task that is already running according to its worker's report.
-    pub fn adopt(&mut self, attempt: AttemptId, running: Running) {
+    pub fn add_running(&mut self, attempt: AttemptId, running: Running) {
         if self.cell.running(attempt).is_none_or(|known| known.worker != running.worker) {
-            self.unproven_tasks.push((running.started_ms + PROVEN_AFTER_MS, attempt));
+            self.pending_successes.push((running.started_ms + PROVEN_AFTER_MS, attempt));
             self.cell.add(attempt, running);
         }
     }
@@ -227,33 +234,38 @@
         worker: &WorkerId,
         attempt: AttemptId,
         end: TaskEnd,
-    ) -> Verdict {
+    ) -> HealthChange {
         if self.cell.running(attempt).is_none_or(|running| running.worker != *worker) {
-            return Verdict::Inconclusive;
+            return HealthChange::Unchanged;
         }
         let Some(running) = self.cell.remove(attempt) else {
-            return Verdict::Inconclusive;
+            return HealthChange::Unchanged;
         };
-        let mut verdict = Verdict::Inconclusive;
+        let mut health_change = HealthChange::Unchanged;
         match end {
             TaskEnd::Succeeded => {
                 self.health.record_success(&running.worker, &running.entry);
-                self.usage.record(&running.entry, attempt.job, &running.declared, &running.used);
+                self.usage.record(
+                    &running.entry,
+                    attempt.job,
+                    &running.declared,
+                    &running.peak_usage,
+                );
                 let ran_ms = now_ms.saturating_sub(running.started_ms);
                 self.usage.record_run(&running.entry, ran_ms);
             }
             TaskEnd::Failed => {
-                verdict = self.health.record_failure(now_ms, &running.worker, &running.entry);
-                match verdict {
-                    Verdict::WorkerQuarantined => self.counters.quarantines += 1,
-                    Verdict::EntryHeldBack => self.counters.held_back += 1,
-                    Verdict::Inconclusive => {}
+                health_change = self.health.record_failure(now_ms, &running.worker, &running.entry);
+                match health_change {
+                    HealthChange::WorkerQuarantined => self.counters.quarantines += 1,
+                    HealthChange::EntryHeldBack => self.counters.held_back += 1,
+                    HealthChange::Unchanged => {}
                 }
             }
             TaskEnd::Stopped => {}
         }
         self.apply_health(now_ms, &running.worker);
-        verdict
+        health_change
     }
 
     /// Records the observed usage of a running task. If its worker is overcommitted,
@@ -345,8 +357,8 @@
                 waiting.entry
             ));
         }
-        let need = self.demand(&waiting);
-        if !self.within_quota(&waiting, &need) {
+        let demand = self.demand(&waiting);
+        if !self.within_quota(&waiting, &demand) {
             reasons.push(format!("owner {} holds all its quota here", waiting.owner));
         }
         if self.is_at_running_max(&waiting.entry) {
@@ -357,16 +369,16 @@
             ));
         }
         let free = self.cell.largest_free(&waiting.owner);
-        if let Some(lacking) = free.first_shortage(&need) {
+        if let Some(lacking) = free.first_shortage(&demand) {
             reasons.push(format!("no worker of {} has enough free {lacking} now", waiting.owner));
-        } else if self.cell.find_packed(&waiting.owner, &need, CapacityView::Free).is_none() {
+        } else if self.cell.find_packed(&waiting.owner, &demand, CapacityView::Free).is_none() {
             reasons.push("no single worker has all of it free now".to_owned());
         }
         if let Some(reservation) = self.reservations.get(&waiting.owner)
             && reservation.job == job
         {
-            let (claimed, total) = (reservation.claims.len(), reservation.tasks);
-            reasons.push(format!("room is kept for {claimed} of its {total} tasks"));
+            let (reserved, total) = (reservation.reserved_workers.len(), reservation.tasks);
+            reasons.push(format!("room is kept for {reserved} of its {total} tasks"));
         }
         if reasons.is_empty() {
             reasons.push("it is next".to_owned());
@@ -408,7 +420,7 @@
         }
     }
 
-    /// Entries that are not blocked, in scheduling order.
+    /// Entries to visit, in scheduling order. Blocked ones are left out.
     fn entry_order(&self, now_ms: UnixMs) -> Vec<(EntryName, Urgency)> {
         let mut keyed = Vec::new();
         for entry_queue in self.queue.entry_queues() {
@@ -433,9 +445,10 @@
         keyed.into_iter().map(|(_, entry)| entry).collect()
     }
 
-    /// Whether no capacity has become free since the first jobs of an entry did not
-    /// fit. A lower demand estimate or the end of a job's deferral is not visible in
-    /// the free generation, so the entry is retried after a while in any case.
+    /// Whether an entry is skipped, because its first jobs did not fit and no capacity has
+    /// become free since. The free generation shows only free capacity. It does not show that
+    /// the estimated demand fell, or that the time before which a job is skipped is over. The
+    /// entry is therefore retried after [`BLOCKED_RETRY_MS`] in any case.
     fn is_blocked(&self, now_ms: UnixMs, entry_queue: &EntryQueue) -> bool {
         let Some((free_generation, since_ms)) = entry_queue.blocked_at else {
             return false;
@@ -483,7 +496,7 @@
     }
 }
 
-/// How a task ended, as far as the health of its worker and entry is concerned.
+/// How a task ended, as far as this matters for the health of its worker and entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskEnd {
     /// It ended by itself, with success.
