--- a/crates/node/src/leader.rs
+++ b/crates/node/src/leader.rs
@@ -162,7 +162,7 @@
                 answer_query(&mut pool, &mut submissions, query, has_fresh_lease);
             }
             let handled_at = Instant::now();
-            pool.note_renewal(renewed_ms.load(Ordering::Relaxed));
+            pool.on_leader_lease_renewed(renewed_ms.load(Ordering::Relaxed));
             let effects = pool.poll_effects(steady_ms(), unix_ms());
             let decided_at = Instant::now();
             decision_time = decided_at - handled_at;
--- a/crates/pool/src/holds.rs
+++ b/crates/pool/src/holds.rs
@@ -87,7 +87,7 @@
 
     /// Notes a renewal of the leader lease at `renewed_ms`, in steady time. The leases of
     /// workers may be extended until [`EXTENSION_WINDOW_MS`] after it.
-    pub fn note_renewal(&mut self, renewed_ms: u64) {
+    pub fn on_leader_lease_renewed(&mut self, renewed_ms: u64) {
         self.leader_lease_renewed_ms = self.leader_lease_renewed_ms.max(renewed_ms);
     }
 
--- a/crates/pool/tests/world/mod.rs
+++ b/crates/pool/tests/world/mod.rs
@@ -467,7 +467,7 @@
 
     fn apply_effects(&mut self) {
         if self.can_renew_lease {
-            self.pool.note_renewal(self.now_ms);
+            self.pool.on_leader_lease_renewed(self.now_ms);
         }
         for effect in self.pool.poll_effects(self.now_ms, self.now_ms) {
             match effect {
