--- a/crates/pool/src/advise.rs
+++ b/crates/pool/src/advise.rs
@@ -92,13 +92,13 @@
     /// Queries the advisor about these workers, split into as many queries as needed.
     pub(crate) fn query_advisor(&mut self, step: StepId, workers: &[WorkerId]) {
         let Some(job) = self.jobs.get_mut(&step.job) else { return };
-        let Some(unit) = job.unit_of(step) else { return };
+        let Some(step_index) = job.step_index(step) else { return };
         let Some(rule) = job.spec.queue.advice else { return };
         let priority = job.spec.queue.priority;
         let queries = workers.len().div_ceil(self.limits.advice_workers_max).max(1);
         for chunk in workers.chunks(workers.len().div_ceil(queries).max(1)) {
             let cost_ms = query_cost_ms(rule, chunk.len());
-            job.units[unit].advice.queries += 1;
+            job.step_states[step_index].advice.queries += 1;
             self.queries += 1;
             self.long_queries += usize::from(cost_ms >= LONG_QUERY_MS);
             let workers = chunk.to_vec();
@@ -121,9 +121,9 @@
         }
         let Some(job) = self.jobs.get_mut(&step.job) else { return };
         let Some(rule) = job.spec.queue.advice else { return };
-        let Some(unit) = job.unit_of(step) else { return };
-        job.units[unit].retry_at_ms = 0;
-        let advice = &mut job.units[unit].advice;
+        let Some(step_index) = job.step_index(step) else { return };
+        job.step_states[step_index].retry_at_ms = 0;
+        let advice = &mut job.step_states[step_index].advice;
         advice.queries = advice.queries.saturating_sub(1);
         advice.retry_at_ms = 0;
         if let Some(granted) = &granted {
@@ -133,14 +133,15 @@
             None => advice.pause_until_ms = now_ms + RETRY_DELAY_MS,
             Some(granted) => {
                 tracing::debug!(%step, asked = queried.len(), granted = granted.len(), "advisor answered");
-                let slot = |name: &WorkerId| self.workers.get(name).map(|worker| worker.slot);
-                advice.queried.extend(queried.iter().filter_map(slot));
+                let worker_index =
+                    |name: &WorkerId| self.workers.get(name).map(|worker| worker.worker_index);
+                advice.queried.extend(queried.iter().filter_map(worker_index));
                 for grant in granted {
                     let Some(worker) = self.workers.get(&grant.worker) else { continue };
                     let expires_ms = received_ms.min(now_ms) + rule.valid_ms;
                     let incarnation = worker.info.incarnation;
                     let ticket = Ticket { text: grant.ticket, incarnation, expires_ms };
-                    advice.granted.insert(worker.slot, ticket);
+                    advice.granted.insert(worker.worker_index, ticket);
                 }
             }
         }
@@ -154,11 +155,11 @@
     /// the queue. A gang starts all of these tasks or none.
     fn start_reserved_tasks(&mut self, step: StepId) {
         let Some(job) = self.jobs.get(&step.job) else { return };
-        let Some(unit) = job.unit_of(step) else { return };
-        let gang = job.step(unit).gang;
+        let Some(step_index) = job.step_index(step) else { return };
+        let gang = job.step_spec(step_index).gang;
         let mut ready = Vec::new();
         let mut denied = Vec::new();
-        for (index, task) in job.units[unit].tasks.iter().enumerate() {
+        for (index, task) in job.step_states[step_index].tasks.iter().enumerate() {
             if task.phase != Phase::Reserved {
                 continue;
             }
@@ -183,9 +184,12 @@
     /// recorded now would arrive.
     pub(crate) fn has_fresh_ticket(&self, step: StepId, name: &WorkerId) -> bool {
         let Some(job) = self.jobs.get(&step.job) else { return false };
-        let Some(unit) = job.unit_of(step) else { return false };
+        let Some(step_index) = job.step_index(step) else { return false };
         let Some(worker) = self.workers.get(name) else { return false };
-        let Some(ticket) = job.units[unit].advice.granted.get(&worker.slot) else { return false };
+        let Some(ticket) = job.step_states[step_index].advice.granted.get(&worker.worker_index)
+        else {
+            return false;
+        };
         ticket.is_fresh(
             worker.info.incarnation,
             self.start_arrival_ms(step.job, job.spec.queue.advice),
@@ -210,8 +214,10 @@
     pub(crate) fn invalidate_ticket(&mut self, id: TaskId, name: &WorkerId) {
         let Some(worker) = self.workers.get(name) else { return };
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
-        let Some(unit) = job.unit_of(id.step) else { return };
-        if let Some(ticket) = job.units[unit].advice.granted.get_mut(&worker.slot) {
+        let Some(step_index) = job.step_index(id.step) else { return };
+        if let Some(ticket) =
+            job.step_states[step_index].advice.granted.get_mut(&worker.worker_index)
+        {
             ticket.expires_ms = 0;
         }
     }
--- a/crates/pool/src/choose.rs
+++ b/crates/pool/src/choose.rs
@@ -10,8 +10,8 @@
 use crate::id::StepId;
 use crate::spec::StepSpec;
 use crate::spec::TASKS_MAX;
-use crate::worker::Slot;
 use crate::worker::Worker;
+use crate::worker::WorkerIndex;
 
 /// Capacity that other work leaves free for urgent work, in percent of what urgent work
 /// currently uses: enough to place twice the usual arrivals at once while running tasks
@@ -30,7 +30,7 @@
 pub(crate) struct Cycle {
     pub workers: Vec<WorkerView>,
     /// Indices into `workers` by the workers' slots; `None` for workers that take no tasks.
-    indices: Vec<Option<u32>>,
+    view_indices: Vec<Option<u32>>,
     services: Vec<Service>,
     /// What each customer uses, by [`CustomerId`](crate::customers::CustomerId).
     pub customers: Vec<Resources>,
@@ -47,12 +47,12 @@
 /// A worker during one scheduling cycle.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkerView {
-    pub slot: Slot,
+    pub worker_index: WorkerIndex,
     /// The index of its service, see [`Cycle::service_index`].
     pub service: usize,
     pub incarnation: u64,
-    /// See [`Worker::is_suspect`].
-    suspect: bool,
+    /// See [`Worker::has_recent_failures`].
+    has_recent_failures: bool,
     pub free: Resources,
     pub capacity: Resources,
     /// The waiting gang that the worker is reserved for. Meanwhile only work of higher
@@ -90,7 +90,7 @@
     /// The index in [`Cycle::workers`].
     pub index: usize,
     /// Whether a start needs no ticket or would arrive with a valid one.
-    pub ticket_fresh: bool,
+    pub needs_no_new_ticket: bool,
 }
 
 /// An eligible worker with free capacity for a task of the unit.
@@ -106,15 +106,15 @@
 
 impl WorkerView {
     /// Whether the worker's reservation lets this unit use it.
-    pub fn admits(&self, step: StepId, priority: u32) -> bool {
+    pub fn reservation_permits(&self, step: StepId, priority: u32) -> bool {
         self.reserved_for
             .is_none_or(|reserved| reserved.step == step || priority < reserved.priority)
     }
 
-    /// Whether a task of this unit may start here now: as [`Self::admits`], or because it
+    /// Whether a task of this unit may start here now: as [`Self::reservation_permits`], or because it
     /// is expected to end before the gang with the reservation could start.
-    fn accepts(&self, request: &PlacementRequest<'_>) -> bool {
-        self.admits(request.step, request.priority)
+    fn may_start_here(&self, request: &PlacementRequest<'_>) -> bool {
+        self.reservation_permits(request.step, request.priority)
             || self
                 .reserved_for
                 .is_some_and(|reserved| request.expected_end_ms <= reserved.until_ms)
@@ -128,8 +128,8 @@
     }
 
     /// The index of a worker in `workers`; `None` if it takes no tasks in this cycle.
-    pub fn index_of(&self, slot: Slot) -> Option<usize> {
-        self.indices.get(slot.0).copied().flatten().map(|index| index as usize)
+    pub fn view_index_of(&self, worker_index: WorkerIndex) -> Option<usize> {
+        self.view_indices.get(worker_index.0).copied().flatten().map(|index| index as usize)
     }
 
     fn allocate(&mut self, index: usize, demand: &Resources) {
@@ -157,7 +157,7 @@
     ) -> Vec<(u32, usize)> {
         let demand = request.spec.worker_demand();
         let per_worker_max = request.spec.per_worker_max;
-        candidates.retain(|candidate| self.workers[candidate.index].accepts(request));
+        candidates.retain(|candidate| self.workers[candidate.index].may_start_here(request));
         // Sorted once: the best fit remains the best fit until it is full.
         candidates.sort_by(|a, b| self.score(a, &demand).total_cmp(&self.score(b, &demand)));
         let mut chosen = Vec::new();
@@ -197,15 +197,15 @@
     /// Starts a scheduling cycle with the workers that take tasks now.
     ///
     /// These are the open workers, and those in quarantine only for failed runs in
-    /// services where [`Pool::services_with_worker_faults`] does not blame the workers.
+    /// services where [`Pool::services_enforcing_quarantine`] does not blame the workers.
     pub(crate) fn begin_cycle(&self) -> Cycle {
         let mut cycle = Cycle { customers: self.customer_usage(), ..Cycle::default() };
         cycle.workers.reserve(self.workers.len());
-        cycle.indices.resize(self.worker_names.len(), None);
-        let worker_faults = self.services_with_worker_faults();
+        cycle.view_indices.resize(self.worker_names.len(), None);
+        let enforcing_services = self.services_enforcing_quarantine();
         for worker in self.workers.values() {
-            let quarantine_waived = worker.is_only_suspect(self.now_ms)
-                && !worker_faults.contains(&worker.info.service.as_str());
+            let quarantine_waived = worker.is_quarantined_for_failures(self.now_ms)
+                && !enforcing_services.contains(&worker.info.service.as_str());
             if !worker.is_open(self.now_ms) && !quarantine_waived {
                 continue;
             }
@@ -217,12 +217,12 @@
             });
             let sum = &mut cycle.services[service].free;
             *sum = sum.plus(&free);
-            cycle.indices[worker.slot.0] = Some(cycle.workers.len() as u32);
+            cycle.view_indices[worker.worker_index.0] = Some(cycle.workers.len() as u32);
             cycle.workers.push(WorkerView {
-                slot: worker.slot,
+                worker_index: worker.worker_index,
                 service,
                 incarnation: worker.info.incarnation,
-                suspect: worker.is_suspect(),
+                has_recent_failures: worker.has_recent_failures(),
                 free,
                 capacity: worker.info.capacity,
                 reserved_for: None,
@@ -232,15 +232,15 @@
     }
 
     /// The worker with this slot; `None` if it has been removed.
-    pub(crate) fn worker_at(&self, slot: Slot) -> Option<&Worker> {
-        self.workers.get(self.worker_names.get(slot.0)?)
+    pub(crate) fn worker_at(&self, worker_index: WorkerIndex) -> Option<&Worker> {
+        self.workers.get(self.worker_names.get(worker_index.0)?)
     }
 
     /// Services whose failed runs are presumably caused by their workers.
     ///
     /// If runs fail on most workers of a service, the tasks themselves are presumably at
     /// fault. With all of these workers in quarantine, nothing of the service would run.
-    fn services_with_worker_faults(&self) -> Vec<&str> {
+    fn services_enforcing_quarantine(&self) -> Vec<&str> {
         // Service, open workers, workers in quarantine for failed runs. A list is enough
         // since there are few services.
         let mut counts: Vec<(&str, usize, usize)> = Vec::new();
@@ -251,12 +251,13 @@
                 counts.push((service, 0, 0));
                 counts.len() - 1
             });
-            let (_, open, suspect) = &mut counts[index];
+            let (_, open, quarantined) = &mut counts[index];
             *open += usize::from(worker.is_open(self.now_ms));
-            *suspect += usize::from(worker.is_only_suspect(self.now_ms));
+            *quarantined += usize::from(worker.is_quarantined_for_failures(self.now_ms));
         }
-        let few_suspects = |(_, open, suspect): &(&str, usize, usize)| suspect <= open;
-        counts.into_iter().filter(few_suspects).map(|(service, ..)| service).collect()
+        let enforces_quarantine =
+            |(_, open, quarantined): &(&str, usize, usize)| quarantined <= open;
+        counts.into_iter().filter(enforces_quarantine).map(|(service, ..)| service).collect()
     }
 
     /// The eligible workers with free capacity for a task, each with a penalty for being
@@ -264,13 +265,13 @@
     pub(crate) fn candidates(
         &self,
         step: StepId,
-        unit: usize,
+        step_index: usize,
         spec: &StepSpec,
         eligible: &[EligibleWorker],
         cycle: &Cycle,
     ) -> Vec<Candidate> {
         let demand = spec.worker_demand();
-        let unit_tasks = self.unit_tasks_by_worker(step, unit, spec);
+        let unit_tasks = self.unit_tasks_by_worker(step, step_index, spec);
         let mut candidates = Vec::with_capacity(eligible.len());
         for worker in eligible {
             let view = &cycle.workers[worker.index];
@@ -278,11 +279,12 @@
                 continue;
             }
             let outside_rack = spec.near_rack.is_some()
-                && spec.near_rack.as_deref() != self.worker_at(view.slot).and_then(Worker::rack);
-            let avoid = outside_rack || view.suspect;
+                && spec.near_rack.as_deref()
+                    != self.worker_at(view.worker_index).and_then(Worker::rack);
+            let avoid = outside_rack || view.has_recent_failures;
             let penalty =
-                f64::from(u8::from(avoid)) * 4.0 + f64::from(u8::from(!worker.ticket_fresh));
-            let unit_tasks = unit_tasks.get(&view.slot).copied().unwrap_or(0);
+                f64::from(u8::from(avoid)) * 4.0 + f64::from(u8::from(!worker.needs_no_new_ticket));
+            let unit_tasks = unit_tasks.get(&view.worker_index).copied().unwrap_or(0);
             candidates.push(Candidate { index: worker.index, penalty, unit_tasks });
         }
         candidates
@@ -294,17 +296,17 @@
     pub(crate) fn choose_in_one_rack(
         &self,
         request: &PlacementRequest<'_>,
-        unit: usize,
+        step_index: usize,
         waiting: &[u32],
         candidates: Vec<Candidate>,
         cycle: &mut Cycle,
     ) -> Vec<(u32, usize)> {
         let demand = request.spec.worker_demand();
-        let current_rack = self.rack_in_use(request.step, unit);
+        let current_rack = self.rack_in_use(request.step, step_index);
         let mut racks: BTreeMap<&str, (u64, Vec<Candidate>)> = BTreeMap::new();
         for candidate in &candidates {
             let view = &cycle.workers[candidate.index];
-            let Some(rack) = self.worker_at(view.slot).and_then(Worker::rack) else {
+            let Some(rack) = self.worker_at(view.worker_index).and_then(Worker::rack) else {
                 continue;
             };
             let (places, members) = racks.entry(rack).or_default();
@@ -329,8 +331,8 @@
     }
 
     /// The rack of the first task of the unit that is on a worker.
-    fn rack_in_use(&self, step: StepId, unit: usize) -> Option<&str> {
-        let tasks = &self.jobs.get(&step.job)?.units[unit].tasks;
+    fn rack_in_use(&self, step: StepId, step_index: usize) -> Option<&str> {
+        let tasks = &self.jobs.get(&step.job)?.step_states[step_index].tasks;
         let name = tasks.iter().find_map(|task| task.worker.as_ref())?;
         self.workers.get(name)?.rack()
     }
@@ -353,19 +355,19 @@
     fn unit_tasks_by_worker(
         &self,
         step: StepId,
-        unit: usize,
+        step_index: usize,
         spec: &StepSpec,
-    ) -> HashMap<Slot, u32> {
+    ) -> HashMap<WorkerIndex, u32> {
         let mut counts = HashMap::new();
         let Some(job) = self.jobs.get(&step.job) else { return counts };
         if spec.per_worker_max == 0 {
             return counts;
         }
-        for task in &job.units[unit].tasks {
+        for task in &job.step_states[step_index].tasks {
             let Some(worker) = task.worker.as_ref().and_then(|name| self.workers.get(name)) else {
                 continue;
             };
-            *counts.entry(worker.slot).or_default() += 1;
+            *counts.entry(worker.worker_index).or_default() += 1;
         }
         counts
     }
--- a/crates/pool/src/commit.rs
+++ b/crates/pool/src/commit.rs
@@ -30,9 +30,9 @@
 /// submission two, and each partition has one for its fence.
 const ENTRIES_MAX: usize = 96;
 /// Most partitions in one transaction.
-const PARTITIONS_PER_GROUP_MAX: usize = 24;
+const PARTITIONS_PER_BATCH_MAX: usize = 24;
 /// Most batches of several partitions in flight at the same time.
-const GROUPS_IN_FLIGHT_MAX: usize = 1;
+const MULTI_PARTITION_BATCHES_MAX: usize = 1;
 /// The store is slow if it takes longer than this for a batch.
 const SLOW_BATCH_MS: u64 = 60;
 /// A batch counts with at most this time in the mean: one that waited for the end of an
@@ -89,7 +89,7 @@
     batch: u64,
     since_ms: u64,
     /// Whether the transaction may span several partitions.
-    grouped: bool,
+    multi_partition: bool,
     jobs: Vec<JobId>,
     actions: Vec<AfterCommit>,
 }
@@ -187,7 +187,7 @@
     }
 
     /// Whether a job's row is being written or waits to be written.
-    pub fn has_pending(&self, job: JobId) -> bool {
+    pub fn is_write_pending(&self, job: JobId) -> bool {
         let partition = &self.partitions[job.partition()];
         partition.dirty.contains_key(&job)
             || partition.in_flight.as_ref().is_some_and(|batch| batch.jobs.contains(&job))
@@ -201,7 +201,7 @@
     }
 
     /// Jobs whose rows wait behind a stuck partition.
-    fn waiting_behind_stuck(&self, now_ms: u64) -> Vec<JobId> {
+    fn jobs_in_stuck_partitions(&self, now_ms: u64) -> Vec<JobId> {
         let mut waiting = Vec::new();
         for (number, partition) in self.partitions.iter().enumerate() {
             if self.is_stuck(number, now_ms) {
@@ -228,7 +228,7 @@
     }
 
     /// Whether a row is being written or waits to be written.
-    pub fn is_busy(&self) -> bool {
+    pub fn has_pending_writes(&self) -> bool {
         self.partitions
             .iter()
             .any(|partition| partition.in_flight.is_some() || !partition.dirty.is_empty())
@@ -241,24 +241,25 @@
     }
 
     /// Whether as many batches of several partitions are in flight as are allowed.
-    fn is_group_limit_reached(&self) -> bool {
-        let mut groups = Vec::new();
+    fn is_multi_partition_limit_reached(&self) -> bool {
+        let mut batch_numbers = Vec::new();
         for partition in &self.partitions {
-            let Some(batch) = partition.in_flight.as_ref().filter(|batch| batch.grouped) else {
+            let Some(batch) = partition.in_flight.as_ref().filter(|batch| batch.multi_partition)
+            else {
                 continue;
             };
-            if !groups.contains(&batch.batch) {
-                groups.push(batch.batch);
+            if !batch_numbers.contains(&batch.batch) {
+                batch_numbers.push(batch.batch);
             }
         }
-        groups.len() >= GROUPS_IN_FLIGHT_MAX
+        batch_numbers.len() >= MULTI_PARTITION_BATCHES_MAX
     }
 }
 
 impl Pool {
     /// Requests that a submission is made durable, together with its first start if that
     /// is chosen soon.
-    pub(crate) fn note_submission(&mut self, job: JobId) {
+    pub(crate) fn schedule_submission_write(&mut self, job: JobId) {
         let due_ms = self.now_ms + FIRST_START_WAIT_MS;
         self.commits.mark_dirty_by(job, AfterCommit::Accept(job), due_ms);
     }
@@ -270,8 +271,8 @@
 
     /// Refuses submissions that wait behind a stuck partition, while their callers still
     /// have time to retry.
-    pub(crate) fn refuse_behind_stuck(&mut self) {
-        for id in self.commits.waiting_behind_stuck(self.now_ms) {
+    pub(crate) fn reject_stuck_submissions(&mut self) {
+        for id in self.commits.jobs_in_stuck_partitions(self.now_ms) {
             if self.withdraw(id) {
                 self.effects.push(Effect::Answer { job: id, accepted: Accepted::No });
             }
@@ -282,28 +283,28 @@
     pub(crate) fn commit(&mut self) {
         let now_ms = self.now_ms;
         let slow = self.commits.is_slow(now_ms);
-        if !slow && self.commits.is_group_limit_reached() {
+        if !slow && self.commits.is_multi_partition_limit_reached() {
             return;
         }
-        let mut group = Group::default();
+        let mut batch = Batch::default();
         for partition in 0..PARTITIONS {
             if slow {
-                group = Group::default();
+                batch = Batch::default();
             }
-            if group.writes.len() >= PARTITIONS_PER_GROUP_MAX {
+            if batch.writes.len() >= PARTITIONS_PER_BATCH_MAX {
                 break;
             }
-            self.fill_group(partition, &mut group);
+            self.fill_batch(partition, &mut batch);
             if slow {
-                self.send_group(group, false);
-                group = Group::default();
+                self.send_batch(batch, false);
+                batch = Batch::default();
             }
         }
-        self.send_group(group, true);
+        self.send_batch(batch, true);
     }
 
     /// Adds a partition's due rows and removals to a group, as far as there is space.
-    fn fill_group(&mut self, partition: usize, group: &mut Group) {
+    fn fill_batch(&mut self, partition: usize, batch: &mut Batch) {
         let now_ms = self.now_ms;
         let pending = &mut self.commits.partitions[partition];
         if pending.in_flight.is_some() || (pending.order.is_empty() && pending.removes.is_empty()) {
@@ -313,14 +314,14 @@
         let mut in_flight = InFlight {
             batch: 0,
             since_ms: now_ms,
-            grouped: false,
+            multi_partition: false,
             jobs: Vec::new(),
             actions: Vec::new(),
         };
         let mut deferred = VecDeque::new();
         while let Some(id) = pending.order.pop_front() {
-            let full = group.entries + ENTRIES_PER_JOB_MAX > ENTRIES_MAX
-                || group.bytes > self.limits.batch_bytes_max;
+            let full = batch.entries + ENTRIES_PER_JOB_MAX > ENTRIES_MAX
+                || batch.bytes > self.limits.batch_bytes_max;
             let due = pending.dirty.get(&id).is_some_and(|dirty| dirty.due_ms <= now_ms);
             if full || !due {
                 deferred.push_back(id);
@@ -331,10 +332,10 @@
             let progress = job.progress(&self.workers);
             let has_progress = !progress.tasks.is_empty() || progress.outcome.is_some();
             let submission = (!job.durable).then(|| Arc::clone(&job.spec));
-            group.entries += 1 + 2 * usize::from(submission.is_some());
-            group.bytes += ROW_BYTES + progress.tasks.len() * TASK_BYTES;
+            batch.entries += 1 + 2 * usize::from(submission.is_some());
+            batch.bytes += ROW_BYTES + progress.tasks.len() * TASK_BYTES;
             if submission.is_some() {
-                group.bytes += job.payload.len() + job.spec.steps.len() * STEP_BYTES;
+                batch.bytes += job.payload.len() + job.spec.steps.len() * STEP_BYTES;
             }
             let progress = has_progress.then_some(progress);
             write.puts.push(Put { job: id, submission, progress });
@@ -342,30 +343,30 @@
             in_flight.actions.extend(dirty.actions);
         }
         pending.order = deferred;
-        let removes_max = ENTRIES_MAX.saturating_sub(group.entries) / ENTRIES_PER_REMOVAL;
+        let removes_max = ENTRIES_MAX.saturating_sub(batch.entries) / ENTRIES_PER_REMOVAL;
         let left_over = pending.removes.len().saturating_sub(removes_max);
         write.removes = pending.removes.split_off(left_over);
         if write.puts.is_empty() && write.removes.is_empty() {
             return;
         }
-        group.entries += 1 + write.removes.len() * ENTRIES_PER_REMOVAL;
-        group.writes.push(write);
+        batch.entries += 1 + write.removes.len() * ENTRIES_PER_REMOVAL;
+        batch.writes.push(write);
         pending.in_flight = Some(in_flight);
     }
 
-    fn send_group(&mut self, group: Group, grouped: bool) {
-        if group.writes.is_empty() {
+    fn send_batch(&mut self, new_batch: Batch, multi_partition: bool) {
+        if new_batch.writes.is_empty() {
             return;
         }
         self.commits.last_batch += 1;
         let batch = self.commits.last_batch;
-        for write in &group.writes {
+        for write in &new_batch.writes {
             if let Some(in_flight) = &mut self.commits.partitions[write.partition].in_flight {
                 in_flight.batch = batch;
-                in_flight.grouped = grouped;
+                in_flight.multi_partition = multi_partition;
             }
         }
-        self.effects.push(Effect::Commit { batch, writes: group.writes });
+        self.effects.push(Effect::Commit { batch, writes: new_batch.writes });
     }
 
     pub(crate) fn on_committed(&mut self, batch: u64, partition: usize) {
@@ -408,7 +409,7 @@
 
 /// Writes that are sent as one transaction.
 #[derive(Debug, Default)]
-struct Group {
+struct Batch {
     writes: Vec<PartitionWrite>,
     entries: usize,
     bytes: usize,
--- a/crates/pool/src/customers.rs
+++ b/crates/pool/src/customers.rs
@@ -57,15 +57,15 @@
 pub(crate) struct Account {
     pub limits: CustomerLimits,
     /// The jobs that may arrive now within the weight.
-    allowance: f64,
+    tokens: f64,
     /// When the allowance was last refilled.
     refilled_unix_ms: u64,
 }
 
 impl Account {
     fn new(limits: CustomerLimits) -> Self {
-        let allowance = limits.weight * BURST_S;
-        Self { limits, allowance, refilled_unix_ms: 0 }
+        let tokens = limits.weight * BURST_S;
+        Self { limits, tokens, refilled_unix_ms: 0 }
     }
 }
 
@@ -92,17 +92,17 @@
 
     /// Counts a job accepted at `accepted_unix_ms` and returns whether it is within the
     /// customer's weight. With a weight of 0 no job is.
-    pub fn note_arrival(&mut self, id: CustomerId, accepted_unix_ms: u64) -> bool {
+    pub fn take_arrival_token(&mut self, id: CustomerId, accepted_unix_ms: u64) -> bool {
         let account = &mut self.accounts[id.0];
         let weight = account.limits.weight;
         let elapsed_ms = accepted_unix_ms.saturating_sub(account.refilled_unix_ms);
         let refill = weight * elapsed_ms as f64 / 1_000.0;
-        account.allowance = (account.allowance + refill).min(weight * BURST_S);
+        account.tokens = (account.tokens + refill).min(weight * BURST_S);
         account.refilled_unix_ms = account.refilled_unix_ms.max(accepted_unix_ms);
-        if account.allowance < 1.0 {
+        if account.tokens < 1.0 {
             return false;
         }
-        account.allowance -= 1.0;
+        account.tokens -= 1.0;
         true
     }
 
@@ -136,23 +136,29 @@
     }
 
     /// Whether a gang waits because of its customer's cap.
-    pub(crate) fn awaits_cap(&self, step: StepId, unit: usize) -> bool {
-        self.jobs.get(&step.job).is_some_and(|job| job.units[unit].awaits_cap)
+    pub(crate) fn blocked_by_cap(&self, step: StepId, step_index: usize) -> bool {
+        self.jobs.get(&step.job).is_some_and(|job| job.step_states[step_index].blocked_by_cap)
     }
 
     /// Sets whether a gang waits because of its customer's cap.
-    pub(crate) fn set_awaits_cap(&mut self, step: StepId, unit: usize, awaits_cap: bool) {
+    pub(crate) fn set_blocked_by_cap(
+        &mut self,
+        step: StepId,
+        step_index: usize,
+        blocked_by_cap: bool,
+    ) {
         if let Some(job) = self.jobs.get_mut(&step.job) {
-            job.units[unit].awaits_cap = awaits_cap;
+            job.step_states[step_index].blocked_by_cap = blocked_by_cap;
         }
     }
 
     /// Reserves what a waiting gang needs of its customer's cap against later work of the
     /// same customer, which would otherwise take each bit of the cap as it comes free.
-    pub(crate) fn reserve_cap(&self, step: StepId, unit: usize, cycle: &mut Cycle) {
+    pub(crate) fn reserve_cap(&self, step: StepId, step_index: usize, cycle: &mut Cycle) {
         let Some(job) = self.jobs.get(&step.job) else { return };
         let Some(customer) = job.customer else { return };
-        let demand = job.step(unit).demand.times(job.units[unit].tasks.len() as u64);
+        let demand =
+            job.step_spec(step_index).demand.times(job.step_states[step_index].tasks.len() as u64);
         let used = &mut cycle.customers[customer.0];
         // A gang that exceeds the whole cap would reserve all of it for ever.
         if remaining(&self.customers.get(customer).limits.cap, &Resources::ZERO).holds(&demand) {
--- a/crates/pool/src/dump.rs
+++ b/crates/pool/src/dump.rs
@@ -135,26 +135,26 @@
             let name = &limits.name;
             lines.push(format!(
                 "customer {name}: has {used:?} of {:?}, weight {}, beyond it {}",
-                limits.cap, limits.weight, job.beyond_weight
+                limits.cap, limits.weight, job.over_fair_share
             ));
         }
-        for (number, unit) in job.units.iter().enumerate() {
-            let waiting = unit.waiting_tasks().count();
-            let ready = job.is_ready(number);
-            let queried = unit.advice.queried.len();
-            let granted = unit.advice.granted.len();
+        for (step_index, step_state) in job.step_states.iter().enumerate() {
+            let waiting = step_state.waiting_tasks().count();
+            let ready = job.is_ready(step_index);
+            let queried = step_state.advice.queried.len();
+            let granted = step_state.advice.granted.len();
             lines.push(format!(
                 "step {}: {} of {} tasks to do, {waiting} wait, ready {ready}, advisor granted {granted} of {queried} workers",
-                unit.id, unit.remaining_tasks, unit.tasks.len(),
+                step_state.id, step_state.remaining_tasks, step_state.tasks.len(),
             ));
-            if unit.awaits_cap {
-                lines.push(format!("step {}: waits for the customer's cap", unit.id));
+            if step_state.blocked_by_cap {
+                lines.push(format!("step {}: waits for the customer's cap", step_state.id));
             }
-            for (index, task) in unit.tasks.iter().enumerate() {
+            for (index, task) in step_state.tasks.iter().enumerate() {
                 let Some(worker) = &task.worker else { continue };
                 lines.push(format!(
                     "task {}.{index}: {:?} on {worker}, run {}, {} failed, {}% done",
-                    unit.id, task.phase, task.run, task.failures, task.percent
+                    step_state.id, task.phase, task.run, task.failures, task.percent
                 ));
             }
         }
--- a/crates/pool/src/holds.rs
+++ b/crates/pool/src/holds.rs
@@ -81,7 +81,7 @@
 
     /// When every lease that an earlier scheduler granted has certainly expired.
     pub(crate) fn earlier_lease_expiry_ms(&self) -> u64 {
-        let lease_ms = on_slow_clock(self.limits.lease_ms) + IN_FLIGHT_MARGIN_MS;
+        let lease_ms = max_local_duration_ms(self.limits.lease_ms) + IN_FLIGHT_MARGIN_MS;
         self.started_ms + self.election.earlier_extends_ms + lease_ms
     }
 
@@ -123,7 +123,8 @@
                 }
             }
         }
-        let expiry_ms = self.now_ms + on_slow_clock(self.limits.lease_max_ms) + LATE_REQUEST_MS;
+        let expiry_ms =
+            self.now_ms + max_local_duration_ms(self.limits.lease_max_ms) + LATE_REQUEST_MS;
         if let Some(worker) = self.workers.get_mut(name) {
             worker.begin_incarnation(life, self.turn, expiry_ms);
         }
@@ -144,7 +145,7 @@
         worker.clock = None;
         worker.lease_end_max = 0;
         worker.earlier_lease_expiry_ms = 0;
-        worker.unwanted_runs.clear();
+        worker.unwanted_allocations.clear();
         worker.next_hold_ms = self.now_ms + HOLD_RETRY_DELAY_MS;
         worker.recompute_usage();
         if !worker.listed {
@@ -277,7 +278,7 @@
             };
             if let Some(active) = reported.remove(&(id, task.run)) {
                 update_running_task(task, active, now_ms, this_turn);
-                self.mark_begun(id);
+                self.mark_start_confirmed(id);
                 continue;
             }
             if is_surely_gone(task, turn) {
@@ -302,13 +303,13 @@
                 self.stop_unwanted_run(name, id, run);
                 continue;
             };
-            if let Some(unit) = job.unit_of(id.step) {
-                allocations.push(job.allocation(unit));
+            if let Some(step_index) = job.step_index(id.step) {
+                allocations.push(job.allocation(step_index));
             }
             self.stop_unwanted_run(name, id, run);
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
-        worker.unwanted_runs = allocations;
+        worker.unwanted_allocations = allocations;
         worker.recompute_usage();
     }
 
@@ -395,7 +396,7 @@
 }
 
 /// The longest that a duration on a worker's clock may last on the local clock.
-fn on_slow_clock(duration_ms: u64) -> u64 {
+fn max_local_duration_ms(duration_ms: u64) -> u64 {
     duration_ms * 1_025 / 1_000
 }
 
@@ -410,7 +411,7 @@
     if matches!(task.phase, Phase::Sent | Phase::Adopted) {
         task.phase = Phase::Running { since_turn: turn };
         task.last_progress_ms = now_ms;
-        task.began_ms = now_ms;
+        task.running_since_ms = now_ms;
     }
     task.listed_by_worker = true;
     if active.percent != task.percent {
--- a/crates/pool/src/job.rs
+++ b/crates/pool/src/job.rs
@@ -18,8 +18,8 @@
 use crate::spec::StepSpec;
 use crate::worker::Allocation;
 use crate::worker::FULL_PACE;
-use crate::worker::Slot;
 use crate::worker::Worker;
+use crate::worker::WorkerIndex;
 
 /// The phase of a task's newest run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,9 +66,9 @@
     /// When [`Self::percent`] last changed or the newest run was recorded, sent or started.
     pub last_progress_ms: u64,
     /// When the newest run was recorded; 0 if this leader has recorded none.
-    pub placed_ms: u64,
+    pub recorded_ms: u64,
     /// When the newest run was first known to run; 0 before.
-    pub began_ms: u64,
+    pub running_since_ms: u64,
     /// Whether a hold has listed the newest run, so that it is known which incarnation of the
     /// worker has it.
     pub listed_by_worker: bool,
@@ -77,7 +77,7 @@
     pub pace_percent: Option<u32>,
     /// Whether another run of the task completed. The newest run is stopped then, and its
     /// capacity stays allocated until it is gone.
-    pub copy_done: bool,
+    pub other_run_done: bool,
 }
 
 impl Task {
@@ -88,7 +88,7 @@
 
     /// Whether the task needs no further run.
     pub fn is_done(&self) -> bool {
-        self.copy_done || self.phase == Phase::Done
+        self.other_run_done || self.phase == Phase::Done
     }
 }
 
@@ -112,9 +112,9 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Advice {
     /// Workers that may run the step, with the newest ticket of each.
-    pub granted: BTreeMap<Slot, Ticket>,
+    pub granted: BTreeMap<WorkerIndex, Ticket>,
     /// Workers that the advisor has answered about, granted or not.
-    pub queried: BTreeSet<Slot>,
+    pub queried: BTreeSet<WorkerIndex>,
     /// Queries that are not answered yet.
     pub queries: u32,
     /// The advisor is not queried again before this.
@@ -125,7 +125,7 @@
 
 /// One step of one occurrence of a job, with its own position in the queue.
 #[derive(Clone, Debug)]
-pub(crate) struct Unit {
+pub(crate) struct StepState {
     pub id: StepId,
     pub tasks: Vec<Task>,
     pub advice: Advice,
@@ -136,9 +136,9 @@
     /// Placement is not tried again before this.
     pub retry_at_ms: u64,
     /// Whether it is a gang that waits for its customer's cap.
-    pub awaits_cap: bool,
+    pub blocked_by_cap: bool,
     /// For a gang, the workers that were last reserved for it.
-    pub reserved: Vec<Slot>,
+    pub reserved: Vec<WorkerIndex>,
     /// When these workers were chosen.
     pub reserved_ms: u64,
     /// When the last of the places on them is expected to come free.
@@ -152,9 +152,9 @@
     pub spec: Arc<JobSpec>,
     pub customer: Option<CustomerId>,
     /// Whether its customer had used up what its weight allows when the job arrived.
-    pub beyond_weight: bool,
+    pub over_fair_share: bool,
     pub payload: Arc<str>,
-    pub units: Vec<Unit>,
+    pub step_states: Vec<StepState>,
     /// Whether the submission is durable.
     pub durable: bool,
     /// How the job ended; not necessarily durable yet.
@@ -163,19 +163,19 @@
     pub outcome_durable: bool,
     pub finished_unix_ms: u64,
     /// Whether a start of one of its tasks may have been sent.
-    pub started: bool,
+    pub start_sent: bool,
     /// Whether a worker has reported that it began one of its tasks.
-    pub begun: bool,
+    pub start_confirmed: bool,
 }
 
 impl Job {
     /// A job of which no task was placed yet.
     pub fn new(id: JobId, spec: Arc<JobSpec>, customer: Option<CustomerId>) -> Self {
-        let mut units = Vec::new();
+        let mut step_states = Vec::new();
         for occurrence in 0..spec.occurrences() {
             for (number, step) in spec.steps.iter().enumerate() {
                 let id = StepId { job: id, occurrence, step: number as u32 };
-                units.push(Unit::new(id, step.tasks));
+                step_states.push(StepState::new(id, step.tasks));
             }
         }
         Self {
@@ -183,14 +183,14 @@
             payload: Arc::from(spec.payload.as_str()),
             spec,
             customer,
-            beyond_weight: false,
-            units,
+            over_fair_share: false,
+            step_states,
             durable: true,
             outcome: None,
             outcome_durable: false,
             finished_unix_ms: 0,
-            started: false,
-            begun: false,
+            start_sent: false,
+            start_confirmed: false,
         }
     }
 
@@ -199,20 +199,22 @@
         self.outcome = progress.outcome;
         self.outcome_durable = progress.outcome.is_some();
         self.finished_unix_ms = progress.finished_unix_ms;
-        self.started = !progress.tasks.is_empty();
+        self.start_sent = !progress.tasks.is_empty();
         for row in &progress.tasks {
-            let Some(unit) = self.units.get_mut(row.unit as usize) else { continue };
-            let Some(task) = unit.tasks.get_mut(row.index as usize) else { continue };
+            let Some(step_state) = self.step_states.get_mut(row.step_index as usize) else {
+                continue;
+            };
+            let Some(task) = step_state.tasks.get_mut(row.index as usize) else { continue };
             // A row is written before its start is sent, so a run alone does not show that
             // a worker began the task.
-            self.begun |= row.done || row.failures > 0 || !row.checkpoint.is_empty();
+            self.start_confirmed |= row.done || row.failures > 0 || !row.checkpoint.is_empty();
             task.run = row.run;
             task.failures = row.failures;
             task.failed_run = row.failed_run;
             task.checkpoint.clone_from(&row.checkpoint);
             if row.done {
                 task.phase = Phase::Done;
-                unit.remaining_tasks -= 1;
+                step_state.remaining_tasks -= 1;
                 continue;
             }
             task.worker.clone_from(&row.worker);
@@ -225,15 +227,15 @@
     /// The row that makes the current progress durable.
     pub fn progress(&self, workers: &BTreeMap<WorkerId, Worker>) -> Progress {
         let mut tasks = Vec::new();
-        for (number, unit) in self.units.iter().enumerate() {
-            for (index, task) in unit.tasks.iter().enumerate() {
+        for (step_index, step_state) in self.step_states.iter().enumerate() {
+            for (index, task) in step_state.tasks.iter().enumerate() {
                 if task.run == 0 || (self.outcome.is_some() && task.worker.is_none()) {
                     continue;
                 }
                 let worker = task.worker.clone().filter(|_| task.phase != Phase::Reserved);
                 let placed_on = worker.as_ref().and_then(|name| workers.get(name));
                 tasks.push(TaskProgress {
-                    unit: number as u32,
+                    step_index: step_index as u32,
                     index: index as u32,
                     run: task.run,
                     failures: task.failures,
@@ -257,8 +259,8 @@
         self.payload = Arc::from("");
         let spec = JobSpec { payload: String::new(), ..(*self.spec).clone() };
         self.spec = Arc::new(spec);
-        for unit in &mut self.units {
-            unit.advice = Advice::default();
+        for step_state in &mut self.step_states {
+            step_state.advice = Advice::default();
         }
     }
 
@@ -268,19 +270,19 @@
             Some(outcome) if self.outcome_durable || outcome == Outcome::Cancelled => {
                 outcome.into()
             }
-            _ if self.started => JobState::Running,
+            _ if self.start_sent => JobState::Running,
             _ => JobState::Queued,
         }
     }
 
     /// The specification of a unit's step.
-    pub fn step(&self, unit: usize) -> &StepSpec {
-        &self.spec.steps[self.units[unit].id.step as usize]
+    pub fn step_spec(&self, step_index: usize) -> &StepSpec {
+        &self.spec.steps[self.step_states[step_index].id.step as usize]
     }
 
     /// The resources that a task of a unit takes from its worker and its customer's cap.
-    pub fn allocation(&self, unit: usize) -> Allocation {
-        let step = self.step(unit);
+    pub fn allocation(&self, step_index: usize) -> Allocation {
+        let step = self.step_spec(step_index);
         Allocation {
             worker_demand: step.worker_demand(),
             demand: step.demand,
@@ -289,39 +291,43 @@
     }
 
     /// The index of a step's unit; `None` if the job has no such step.
-    pub fn unit_of(&self, id: StepId) -> Option<usize> {
-        let unit = id.occurrence as usize * self.spec.steps.len() + id.step as usize;
-        let exists = (id.step as usize) < self.spec.steps.len() && unit < self.units.len();
-        exists.then_some(unit)
+    pub fn step_index(&self, id: StepId) -> Option<usize> {
+        let step_index = id.occurrence as usize * self.spec.steps.len() + id.step as usize;
+        let exists =
+            (id.step as usize) < self.spec.steps.len() && step_index < self.step_states.len();
+        exists.then_some(step_index)
     }
 
     /// The task with this id; `None` if the job has no such task.
     pub fn task_mut(&mut self, id: TaskId) -> Option<&mut Task> {
-        let unit = self.unit_of(id.step)?;
-        self.units[unit].tasks.get_mut(id.index as usize)
+        let step_index = self.step_index(id.step)?;
+        self.step_states[step_index].tasks.get_mut(id.index as usize)
     }
 
     /// Whether all steps that the unit depends on are done.
-    pub fn is_ready(&self, unit: usize) -> bool {
-        let first_unit = self.units[unit].id.occurrence as usize * self.spec.steps.len();
-        self.step(unit)
-            .after
-            .iter()
-            .all(|earlier| self.units[first_unit + *earlier as usize].remaining_tasks == 0)
+    pub fn is_ready(&self, step_index: usize) -> bool {
+        let first_step_index =
+            self.step_states[step_index].id.occurrence as usize * self.spec.steps.len();
+        self.step_spec(step_index).after.iter().all(|earlier| {
+            self.step_states[first_step_index + *earlier as usize].remaining_tasks == 0
+        })
     }
 
     /// Whether all tasks are done.
     pub fn is_done(&self) -> bool {
-        self.units.iter().all(|unit| unit.remaining_tasks == 0)
+        self.step_states.iter().all(|step_state| step_state.remaining_tasks == 0)
     }
 
     /// Whether any task may still be on a worker.
     pub fn has_placed_tasks(&self) -> bool {
-        self.units.iter().flat_map(|unit| &unit.tasks).any(|task| task.worker.is_some())
+        self.step_states
+            .iter()
+            .flat_map(|step_state| &step_state.tasks)
+            .any(|task| task.worker.is_some())
     }
 }
 
-impl Unit {
+impl StepState {
     fn new(id: StepId, tasks: u32) -> Self {
         Self {
             id,
@@ -330,7 +336,7 @@
             remaining_tasks: tasks,
             queued: false,
             retry_at_ms: 0,
-            awaits_cap: false,
+            blocked_by_cap: false,
             reserved: Vec::new(),
             reserved_ms: 0,
             reserved_until_ms: 0,
@@ -355,11 +361,11 @@
             checkpoint: String::new(),
             percent: 0,
             last_progress_ms: 0,
-            placed_ms: 0,
-            began_ms: 0,
+            recorded_ms: 0,
+            running_since_ms: 0,
             listed_by_worker: false,
             pace_percent: None,
-            copy_done: false,
+            other_run_done: false,
         }
     }
 }
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -47,8 +47,8 @@
 use crate::estimates::Estimates;
 use crate::job::Job;
 use crate::job::Phase;
-use crate::worker::Slot;
 use crate::worker::Worker;
+use crate::worker::WorkerIndex;
 
 pub use crate::advise::LONG_QUERY_MS;
 pub use crate::advise::long_queries_max;
@@ -170,7 +170,7 @@
     priority: u32,
     /// Within one priority, jobs beyond their customer's weight come after the jobs of
     /// customers that are within theirs.
-    beyond_weight: bool,
+    over_fair_share: bool,
     /// The time after which the job is late.
     deadline_unix_ms: u64,
     arrival: u64,
@@ -240,9 +240,9 @@
         let Some(name) = row.worker.clone().filter(|_| !row.done) else { return };
         let Some(job) = self.jobs.get(&job) else { return };
         let job_ended = job.outcome.is_some();
-        let Some(unit) = job.units.get(row.unit as usize) else { return };
-        let id = TaskId { step: unit.id, index: row.index };
-        let allocation = job.allocation(row.unit as usize);
+        let Some(step_state) = job.step_states.get(row.step_index as usize) else { return };
+        let id = TaskId { step: step_state.id, index: row.index };
+        let allocation = job.allocation(row.step_index as usize);
         let service = job.spec.queue.service.clone();
         if !self.workers.contains_key(&name) {
             let address = row.address.clone();
@@ -265,9 +265,10 @@
 
     /// Adds a worker that is not known yet.
     pub(crate) fn add_worker(&mut self, update: WorkerUpdate, listed: bool) {
-        let slot = Slot(self.worker_names.len());
+        let worker_index = WorkerIndex(self.worker_names.len());
         let name = update.worker.clone();
-        let worker = Worker { listed, ..Worker::new(slot, update, self.earlier_lease_expiry_ms()) };
+        let worker =
+            Worker { listed, ..Worker::new(worker_index, update, self.earlier_lease_expiry_ms()) };
         self.worker_names.push(name.clone());
         self.workers.insert(name, worker);
     }
@@ -353,8 +354,9 @@
     /// The number of unfinished jobs of a queue of which no worker has reported that a
     /// task began.
     pub fn pending(&self, queue: &str) -> usize {
-        let pending =
-            |job: &&Job| !job.begun && job.outcome.is_none() && job.spec.queue.name == queue;
+        let pending = |job: &&Job| {
+            !job.start_confirmed && job.outcome.is_none() && job.spec.queue.name == queue
+        };
         self.jobs.values().filter(pending).count()
     }
 
@@ -375,7 +377,7 @@
     /// Whether rows are being written or wait to be written. A daemon that stops may wait
     /// until this is `false`.
     pub fn is_committing(&self) -> bool {
-        self.commits.is_busy()
+        self.commits.has_pending_writes()
     }
 
     fn on_accepted(&mut self, id: JobId, spec: Arc<JobSpec>) {
@@ -395,8 +397,9 @@
     fn new_job(&mut self, id: JobId, spec: Arc<JobSpec>) -> Job {
         let customer = spec.customer.as_ref().map(|limits| self.customers.id_of(limits));
         let accepted_ms = spec.accepted_unix_ms;
-        let within_weight = customer.is_none_or(|id| self.customers.note_arrival(id, accepted_ms));
-        Job { beyond_weight: !within_weight, ..Job::new(id, spec, customer) }
+        let within_fair_share =
+            customer.is_none_or(|id| self.customers.take_arrival_token(id, accepted_ms));
+        Job { over_fair_share: !within_fair_share, ..Job::new(id, spec, customer) }
     }
 
     fn on_customers(&mut self, limits: Vec<CustomerLimits>) {
@@ -406,40 +409,42 @@
 
     fn admit(&mut self, job: Job) {
         let id = job.id;
-        let units = job.units.len();
+        let step_count = job.step_states.len();
         let job_ended = job.outcome.is_some();
         self.jobs.insert(id, job);
         if job_ended {
             return;
         }
-        for unit in 0..units {
-            self.enqueue_if_ready(id, unit);
+        for step_index in 0..step_count {
+            self.enqueue_if_ready(id, step_index);
         }
         self.cycle_due = true;
     }
 
     /// Puts a unit into the queue if it has tasks to place and all steps that it depends
     /// on are done. A unit that is not due yet is queued once it is due.
-    fn enqueue_if_ready(&mut self, id: JobId, unit: usize) {
+    fn enqueue_if_ready(&mut self, id: JobId, step_index: usize) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        if job.outcome.is_some() || job.units[unit].queued || !job.is_ready(unit) {
+        if job.outcome.is_some() || job.step_states[step_index].queued || !job.is_ready(step_index)
+        {
             return;
         }
-        if job.units[unit].waiting_tasks().next().is_none() {
+        if job.step_states[step_index].waiting_tasks().next().is_none() {
             return;
         }
-        let step = job.units[unit].id;
+        let step = job.step_states[step_index].id;
         let due_unix_ms = job.spec.due_unix_ms(step.occurrence);
         if due_unix_ms > self.unix_ms {
             self.not_due.insert((due_unix_ms, step));
             return;
         }
-        job.units[unit].queued = true;
-        let late_after_unix_ms = job.spec.accepted_unix_ms.max(due_unix_ms) + job.spec.allowed_ms();
+        job.step_states[step_index].queued = true;
+        let job_deadline_unix_ms =
+            job.spec.accepted_unix_ms.max(due_unix_ms) + job.spec.allowed_ms();
         let key = QueueKey {
             priority: job.spec.queue.priority,
-            beyond_weight: job.beyond_weight,
-            deadline_unix_ms: late_after_unix_ms,
+            over_fair_share: job.over_fair_share,
+            deadline_unix_ms: job_deadline_unix_ms,
             arrival: self.arrivals,
         };
         self.arrivals += 1;
@@ -482,15 +487,15 @@
                 break;
             }
             self.not_due.pop_first();
-            let unit = self.jobs.get(&step.job).and_then(|job| job.unit_of(step));
-            if let Some(unit) = unit {
-                self.enqueue_if_ready(step.job, unit);
+            let step_index = self.jobs.get(&step.job).and_then(|job| job.step_index(step));
+            if let Some(step_index) = step_index {
+                self.enqueue_if_ready(step.job, step_index);
             }
         }
         self.sweep_workers();
         self.sweep_runs();
         self.sample_usage();
-        self.refuse_behind_stuck();
+        self.reject_stuck_submissions();
         self.remove_expired_jobs();
         self.cycle_due = true;
     }
@@ -528,10 +533,10 @@
 /// The tasks that may run on a worker and are not done.
 fn placed_tasks(job: &Job) -> Vec<TaskId> {
     let mut tasks = Vec::new();
-    for unit in &job.units {
-        for (index, task) in unit.tasks.iter().enumerate() {
+    for step_state in &job.step_states {
+        for (index, task) in step_state.tasks.iter().enumerate() {
             if task.worker.is_some() && task.phase != Phase::Done {
-                tasks.push(TaskId { step: unit.id, index: index as u32 });
+                tasks.push(TaskId { step: step_state.id, index: index as u32 });
             }
         }
     }
--- a/crates/pool/src/pace.rs
+++ b/crates/pool/src/pace.rs
@@ -41,8 +41,8 @@
             let Some(job) = self.jobs.get(&id.step.job).filter(|job| job.outcome.is_none()) else {
                 continue;
             };
-            let Some(unit) = job.unit_of(id.step) else { continue };
-            let step = job.step(unit);
+            let Some(step_index) = job.step_index(id.step) else { continue };
+            let step = job.step_spec(step_index);
             if step.fills {
                 best_effort.push((id, active.run));
             }
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -70,19 +70,20 @@
                 self.queue.remove(&key);
                 continue;
             };
-            let Some(unit) = job.unit_of(step) else { continue };
-            if job.outcome.is_some() || job.units[unit].waiting_tasks().next().is_none() {
+            let Some(step_index) = job.step_index(step) else { continue };
+            if job.outcome.is_some() || job.step_states[step_index].waiting_tasks().next().is_none()
+            {
                 self.dequeue(key, step);
                 continue;
             }
-            let spec = job.step(unit);
+            let spec = job.step_spec(step_index);
             let (gang, demand) = (spec.gang, spec.worker_demand());
             let Some(service) = cycle.service_index(&job.spec.queue.service) else { continue };
-            let in_backoff = job.units[unit].retry_at_ms > self.now_ms;
+            let in_backoff = job.step_states[step_index].retry_at_ms > self.now_ms;
             if gang && in_backoff {
                 reserved += self.renew_reservation(
                     step,
-                    unit,
+                    step_index,
                     key.priority,
                     &mut cycle,
                     may_reserve(reserved),
@@ -94,25 +95,25 @@
                 .iter()
                 .any(|(other, least)| *other == service && demand.holds(least));
             if in_backoff || (infeasible && !gang) {
-                if self.awaits_cap(step, unit) {
-                    self.reserve_cap(step, unit, &mut cycle);
+                if self.blocked_by_cap(step, step_index) {
+                    self.reserve_cap(step, step_index, &mut cycle);
                 }
                 continue;
             }
-            let attempt = self.place_unit(step, unit, key, &mut cycle);
-            self.set_awaits_cap(step, unit, gang && matches!(attempt, Attempt::Capped));
+            let attempt = self.place_unit(step, step_index, key, &mut cycle);
+            self.set_blocked_by_cap(step, step_index, gang && matches!(attempt, Attempt::Capped));
             match attempt {
                 Attempt::Placed => self.dequeue(key, step),
                 Attempt::Capped => {
-                    self.back_off(step, unit, RETRY_BACKOFF_MS);
-                    self.drop_reservation(step, unit);
-                    self.reserve_cap(step, unit, &mut cycle);
+                    self.back_off(step, step_index, RETRY_BACKOFF_MS);
+                    self.drop_reservation(step, step_index);
+                    self.reserve_cap(step, step_index, &mut cycle);
                 }
                 Attempt::Waits if gang => {
-                    self.back_off(step, unit, self.gang_backoff_ms());
+                    self.back_off(step, step_index, self.gang_backoff_ms());
                     reserved += self.reserve_workers(
                         step,
-                        unit,
+                        step_index,
                         key.priority,
                         &mut cycle,
                         may_reserve(reserved),
@@ -121,7 +122,7 @@
                 Attempt::Waits => {
                     let urgent = key.priority == 0;
                     let base_ms = if urgent { URGENT_RETRY_BACKOFF_MS } else { RETRY_BACKOFF_MS };
-                    self.back_off(step, unit, base_ms);
+                    self.back_off(step, step_index, base_ms);
                     let mut workers = cycle.workers.iter().filter(|view| view.service == service);
                     if !workers.any(|view| view.free.holds(&demand)) {
                         infeasible_demands.push((service, demand));
@@ -132,11 +133,11 @@
     }
 
     /// Delays the next attempt to place a unit.
-    fn back_off(&mut self, step: StepId, unit: usize, base_ms: u64) {
+    fn back_off(&mut self, step: StepId, step_index: usize, base_ms: u64) {
         let backlog_ms = base_ms * (self.queue.len() / BACKOFF_QUEUE_UNITS) as u64;
         let next_ms = self.now_ms + base_ms + backlog_ms;
         if let Some(job) = self.jobs.get_mut(&step.job) {
-            job.units[unit].retry_at_ms = next_ms;
+            job.step_states[step_index].retry_at_ms = next_ms;
         }
     }
 
@@ -169,9 +170,11 @@
     /// skipped while workers, or a part of a cap, are reserved for them.
     fn is_in_backoff(&self, step: StepId) -> bool {
         let Some(job) = self.jobs.get(&step.job) else { return false };
-        let Some(unit) = job.unit_of(step) else { return false };
-        let unit = &job.units[unit];
-        unit.retry_at_ms > self.now_ms && unit.reserved.is_empty() && !unit.awaits_cap
+        let Some(step_index) = job.step_index(step) else { return false };
+        let step_state = &job.step_states[step_index];
+        step_state.retry_at_ms > self.now_ms
+            && step_state.reserved.is_empty()
+            && !step_state.blocked_by_cap
     }
 
     /// How long a task of the unit is expected to run.
@@ -196,14 +199,14 @@
     fn dequeue(&mut self, key: QueueKey, step: StepId) {
         self.queue.remove(&key);
         let Some(job) = self.jobs.get_mut(&step.job) else { return };
-        let Some(unit) = job.unit_of(step) else { return };
-        job.units[unit].queued = false;
+        let Some(step_index) = job.step_index(step) else { return };
+        job.step_states[step_index].queued = false;
     }
 
     fn place_unit(
         &mut self,
         step: StepId,
-        unit: usize,
+        step_index: usize,
         key: QueueKey,
         cycle: &mut Cycle,
     ) -> Attempt {
@@ -212,12 +215,12 @@
         let Some(service) = cycle.service_index(&job.spec.queue.service) else {
             return Attempt::Waits;
         };
-        let spec = job.step(unit).clone();
+        let spec = job.step_spec(step_index).clone();
         let advice = job.spec.queue.advice;
         let customer = job.customer;
-        let state = &job.units[unit];
-        let mut waiting: Vec<u32> = state.waiting_tasks().collect();
-        if spec.gang && waiting.len() < state.tasks.len() {
+        let step_state = &job.step_states[step_index];
+        let mut waiting: Vec<u32> = step_state.waiting_tasks().collect();
+        if spec.gang && waiting.len() < step_state.tasks.len() {
             return Attempt::Waits;
         }
         let fit_under_cap = self.tasks_under_cap(customer, &cycle.customers, &spec.demand);
@@ -228,22 +231,22 @@
             }
             waiting.truncate(fit_under_cap as usize);
         }
-        if spec.gang && advice.is_some() && state.advice.queries > 0 {
+        if spec.gang && advice.is_some() && step_state.advice.queries > 0 {
             return Attempt::Waits;
         }
-        let mut eligible = self.eligible_workers(step, unit, &spec, cycle);
+        let mut eligible = self.eligible_workers(step, step_index, &spec, cycle);
         let eligible_count = eligible.len();
         if advice.is_some() && !spec.gang {
-            eligible.retain(|worker| worker.ticket_fresh);
+            eligible.retain(|worker| worker.needs_no_new_ticket);
         }
-        let candidates = self.candidates(step, unit, &spec, &eligible, cycle);
+        let candidates = self.candidates(step, step_index, &spec, &eligible, cycle);
         let headroom = self.headroom(step, key);
         let expected_end_ms =
             self.now_ms + self.expected_task_ms(step) * ASSUMED_DURATION_PERCENT / 100;
         let request =
             PlacementRequest { step, service, spec: &spec, priority, expected_end_ms, headroom };
         let chosen = if spec.same_rack && spec.tasks > 1 {
-            self.choose_in_one_rack(&request, unit, &waiting, candidates, cycle)
+            self.choose_in_one_rack(&request, step_index, &waiting, candidates, cycle)
         } else {
             cycle.choose(&request, &waiting, candidates)
         };
@@ -251,8 +254,8 @@
         let may_start = all_placed || !spec.gang;
         let may_query = self.may_renew(step, advice, &chosen, cycle);
         if !chosen.is_empty() && may_start && may_query {
-            for (task_index, worker_index) in &chosen {
-                let name = self.worker_names[cycle.workers[*worker_index].slot.0].clone();
+            for (task_index, view_index) in &chosen {
+                let name = self.worker_names[cycle.workers[*view_index].worker_index.0].clone();
                 self.reserve(TaskId { step, index: *task_index }, &name);
             }
             if let Some(customer) = customer {
@@ -264,15 +267,16 @@
                 return Attempt::Placed;
             }
         } else {
-            for (_, worker_index) in &chosen {
-                cycle.deallocate(*worker_index, &spec.worker_demand());
+            for (_, view_index) in &chosen {
+                cycle.deallocate(*view_index, &spec.worker_demand());
             }
         }
         if let Some(advice) = advice.filter(|_| may_query) {
-            if eligible_count > eligible.len() && self.renew_tickets(step, unit, &spec, cycle) {
+            if eligible_count > eligible.len() && self.renew_tickets(step, step_index, &spec, cycle)
+            {
                 return Attempt::Waits;
             }
-            self.query_more_workers(step, unit, &spec, advice, priority, cycle);
+            self.query_more_workers(step, step_index, &spec, advice, priority, cycle);
         }
         Attempt::Waits
     }
@@ -286,8 +290,8 @@
         cycle: &Cycle,
     ) -> bool {
         let Some(rule) = advice else { return true };
-        let fresh = |(_, worker_index): &(u32, usize)| {
-            self.has_fresh_ticket(step, self.name_of(&cycle.workers[*worker_index]))
+        let fresh = |(_, view_index): &(u32, usize)| {
+            self.has_fresh_ticket(step, self.name_of(&cycle.workers[*view_index]))
         };
         (!chosen.is_empty() && chosen.iter().all(fresh)) || self.may_query(rule, chosen.len())
     }
@@ -296,7 +300,7 @@
     pub(crate) fn eligible_workers(
         &self,
         step: StepId,
-        unit: usize,
+        step_index: usize,
         spec: &StepSpec,
         cycle: &Cycle,
     ) -> Vec<EligibleWorker> {
@@ -306,19 +310,19 @@
         if job.spec.queue.advice.is_none() {
             for (index, view) in cycle.workers.iter().enumerate() {
                 if self.is_eligible(service, spec, view) {
-                    eligible.push(EligibleWorker { index, ticket_fresh: true });
+                    eligible.push(EligibleWorker { index, needs_no_new_ticket: true });
                 }
             }
             return eligible;
         }
         let arrival_ms = self.start_arrival_ms(step.job, job.spec.queue.advice);
-        for (slot, ticket) in &job.units[unit].advice.granted {
-            let Some(index) = cycle.index_of(*slot) else { continue };
+        for (worker_index, ticket) in &job.step_states[step_index].advice.granted {
+            let Some(index) = cycle.view_index_of(*worker_index) else { continue };
             let view = &cycle.workers[index];
             if self.is_eligible(service, spec, view) {
                 eligible.push(EligibleWorker {
                     index,
-                    ticket_fresh: ticket.is_fresh(view.incarnation, arrival_ms),
+                    needs_no_new_ticket: ticket.is_fresh(view.incarnation, arrival_ms),
                 });
             }
         }
@@ -328,21 +332,21 @@
     /// Whether a worker belongs to the service and has the label that the step requires.
     pub(crate) fn is_eligible(&self, service: usize, spec: &StepSpec, view: &WorkerView) -> bool {
         let has_label = |label| {
-            let worker = self.worker_at(view.slot);
+            let worker = self.worker_at(view.worker_index);
             worker.is_some_and(|worker| worker.info.labels.contains(label))
         };
         view.service == service && spec.label.as_ref().is_none_or(has_label)
     }
 
     pub(crate) fn name_of(&self, view: &WorkerView) -> &WorkerId {
-        &self.worker_names[view.slot.0]
+        &self.worker_names[view.worker_index.0]
     }
 
     /// Allocates a worker's capacity for a task that may still need a ticket.
     fn reserve(&mut self, id: TaskId, name: &WorkerId) {
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
-        let Some(unit) = job.unit_of(id.step) else { return };
-        let allocation = job.allocation(unit);
+        let Some(step_index) = job.step_index(id.step) else { return };
+        let allocation = job.allocation(step_index);
         let Some(task) = job.task_mut(id) else { return };
         task.phase = Phase::Reserved;
         task.worker = Some(name.clone());
@@ -358,8 +362,8 @@
         let mut names: Vec<WorkerId> = Vec::new();
         let mut stale = false;
         let mut ready = Vec::new();
-        for (task_index, worker_index) in chosen {
-            let name = self.name_of(&cycle.workers[*worker_index]);
+        for (task_index, view_index) in chosen {
+            let name = self.name_of(&cycle.workers[*view_index]);
             if !names.contains(name) {
                 names.push(name.clone());
             }
@@ -379,13 +383,14 @@
     /// share one run number.
     pub(crate) fn record_starts(&mut self, step: StepId, tasks: &[TaskId]) {
         let Some(job) = self.jobs.get(&step.job) else { return };
-        let Some(unit) = job.unit_of(step) else { return };
-        let unit = &job.units[unit];
+        let Some(step_index) = job.step_index(step) else { return };
+        let step_state = &job.step_states[step_index];
         let gang = job.spec.steps[step.step as usize].gang;
-        let newest_run = unit.tasks.iter().map(|task| task.run).max().unwrap_or(0);
-        let runs: Vec<u32> = tasks.iter().map(|id| unit.tasks[id.index as usize].run).collect();
+        let newest_run = step_state.tasks.iter().map(|task| task.run).max().unwrap_or(0);
+        let runs: Vec<u32> =
+            tasks.iter().map(|id| step_state.tasks[id.index as usize].run).collect();
         let checkpoint =
-            unit.tasks.iter().map(|task| task.checkpoint.clone()).max().unwrap_or_default();
+            step_state.tasks.iter().map(|task| task.checkpoint.clone()).max().unwrap_or_default();
         for (id, run) in tasks.iter().zip(runs) {
             let next_run = if gang { newest_run + 1 } else { run + 1 };
             if gang {
--- a/crates/pool/src/record.rs
+++ b/crates/pool/src/record.rs
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TaskProgress {
     /// The index of the task's step among the steps of all occurrences.
-    pub unit: u32,
+    pub step_index: u32,
     /// The index of the task in its step.
     pub index: u32,
     /// The newest run that may have been sent.
@@ -133,8 +133,16 @@
                 });
                 place = worker_index as Place;
             }
-            let (unit, index, run) = (task.unit, task.index, task.run);
-            tasks.push((unit, index, run, task.failures, task.failed_run, place, task.checkpoint));
+            let (step_index, index, run) = (task.step_index, task.index, task.run);
+            tasks.push((
+                step_index,
+                index,
+                run,
+                task.failures,
+                task.failed_run,
+                place,
+                task.checkpoint,
+            ));
         }
         let Progress { outcome, finished_unix_ms, .. } = progress;
         Self { outcome, finished_unix_ms, workers, tasks }
@@ -144,10 +152,10 @@
 impl From<Compact> for Progress {
     fn from(compact: Compact) -> Self {
         let mut tasks = Vec::with_capacity(compact.tasks.len());
-        for (unit, index, run, failures, failed_run, place, checkpoint) in compact.tasks {
+        for (step_index, index, run, failures, failed_run, place, checkpoint) in compact.tasks {
             let done = place == DONE;
             let task = TaskProgress {
-                unit,
+                step_index,
                 index,
                 run,
                 failures,
--- a/crates/pool/src/request.rs
+++ b/crates/pool/src/request.rs
@@ -13,7 +13,7 @@
 use crate::id::StepId;
 use crate::spec::AdviceSpec;
 use crate::spec::StepSpec;
-use crate::worker::Slot;
+use crate::worker::WorkerIndex;
 
 /// A step that was granted enough workers queries about others only if at least this many
 /// of them have free capacity.
@@ -37,19 +37,19 @@
     pub(crate) fn renew_tickets(
         &mut self,
         step: StepId,
-        unit: usize,
+        step_index: usize,
         spec: &StepSpec,
         cycle: &Cycle,
     ) -> bool {
         let Some(job) = self.jobs.get(&step.job) else { return false };
-        let advice = &job.units[unit].advice;
+        let advice = &job.step_states[step_index].advice;
         if advice.queries > 0 || advice.pause_until_ms > self.now_ms {
             return true;
         }
         let need = spec.worker_demand();
         let mut names = Vec::new();
         let mut has_capacity = false;
-        for eligible in self.eligible_workers(step, unit, spec, cycle) {
+        for eligible in self.eligible_workers(step, step_index, spec, cycle) {
             let view = &cycle.workers[eligible.index];
             has_capacity |= view.free.holds(&need);
             names.push(self.name_of(view).clone());
@@ -74,7 +74,7 @@
     pub(crate) fn query_more_workers(
         &mut self,
         step: StepId,
-        unit: usize,
+        step_index: usize,
         spec: &StepSpec,
         rule: AdviceSpec,
         priority: u32,
@@ -82,23 +82,25 @@
     ) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&step.job) else { return };
-        let advice = &mut job.units[unit].advice;
+        let advice = &mut job.step_states[step_index].advice;
         if advice.queries > 0 || advice.pause_until_ms.max(advice.retry_at_ms) > now_ms {
             return;
         }
         advice.retry_at_ms = now_ms + SELECTION_INTERVAL_MS;
         let Some(job) = self.jobs.get(&step.job) else { return };
         let Some(service) = cycle.service_index(&job.spec.queue.service) else { return };
-        let advice = &job.units[unit].advice;
+        let advice = &job.step_states[step_index].advice;
         let need = spec.worker_demand();
         let places_of = |view: &WorkerView| places_in(&view.capacity, &need);
-        let granted_view = |slot: &Slot| cycle.index_of(*slot).map(|index| &cycle.workers[index]);
+        let granted_view = |worker_index: &WorkerIndex| {
+            cycle.view_index_of(*worker_index).map(|index| &cycle.workers[index])
+        };
         let places: u64 = advice.granted.keys().filter_map(granted_view).map(places_of).sum();
         let has_enough = places >= u64::from(spec.tasks) * SUFFICIENT_PLACES_FACTOR;
         let is_first_query = advice.queried.is_empty();
         let include_full = is_first_query || !has_enough;
         let free_places = |view: &WorkerView| {
-            if view.admits(step, priority) { places_in(&view.free, &need) } else { 0 }
+            if view.reservation_permits(step, priority) { places_in(&view.free, &need) } else { 0 }
         };
         // Ordered by free places, the most first.
         let mut candidates: Vec<(Reverse<u64>, u64, usize)> = Vec::new();
@@ -107,10 +109,10 @@
                 continue;
             }
             let free = free_places(view);
-            if (free == 0 && !include_full) || advice.queried.contains(&view.slot) {
+            if (free == 0 && !include_full) || advice.queried.contains(&view.worker_index) {
                 continue;
             }
-            candidates.push((Reverse(free), tie_break(step, view.slot), index));
+            candidates.push((Reverse(free), tie_break(step, view.worker_index), index));
         }
         if candidates.is_empty() || (has_enough && candidates.len() < FURTHER_WORKERS_MIN) {
             return;
@@ -166,6 +168,6 @@
 
 /// Orders workers with equally many free places, for each step differently, so that steps
 /// spread over the workers.
-fn tie_break(step: StepId, slot: Slot) -> u64 {
-    xxh3_64_with_seed(&slot.0.to_le_bytes(), step.job.0 ^ u64::from(step.step))
+fn tie_break(step: StepId, worker_index: WorkerIndex) -> u64 {
+    xxh3_64_with_seed(&worker_index.0.to_le_bytes(), step.job.0 ^ u64::from(step.step))
 }
--- a/crates/pool/src/reserve.rs
+++ b/crates/pool/src/reserve.rs
@@ -19,7 +19,7 @@
 use crate::choose::places_in;
 use crate::id::StepId;
 use crate::id::TaskId;
-use crate::worker::Slot;
+use crate::worker::WorkerIndex;
 
 /// Percentage of the places on empty eligible workers below which a gang needs no
 /// reservation: it finds that many places free at one moment soon enough.
@@ -37,7 +37,7 @@
     pub(crate) fn reserve_workers(
         &mut self,
         step: StepId,
-        unit: usize,
+        step_index: usize,
         priority: u32,
         cycle: &mut Cycle,
         workers_max: usize,
@@ -47,15 +47,15 @@
         }
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get(&step.job) else { return 0 };
-        if now_ms < job.units[unit].reserved_ms + RESERVATION_REFRESH_MS {
-            return self.renew_reservation(step, unit, priority, cycle, workers_max);
+        if now_ms < job.step_states[step_index].reserved_ms + RESERVATION_REFRESH_MS {
+            return self.renew_reservation(step, step_index, priority, cycle, workers_max);
         }
-        let spec = job.step(unit);
+        let spec = job.step_spec(step_index);
         let demand = spec.worker_demand();
-        let tasks = job.units[unit].tasks.len();
+        let tasks = job.step_states[step_index].tasks.len();
         // For each place, in how long it comes free and the index of its worker.
         let mut places: Vec<(u64, usize)> = Vec::new();
-        let eligible = self.eligible_workers(step, unit, spec, cycle);
+        let eligible = self.eligible_workers(step, step_index, spec, cycle);
         let places_when_empty =
             |worker: &EligibleWorker| places_in(&cycle.workers[worker.index].capacity, &demand);
         let total_places: u64 = eligible.iter().map(places_when_empty).sum();
@@ -63,31 +63,32 @@
             return 0;
         }
         for worker in eligible {
-            if !cycle.workers[worker.index].admits(step, priority) {
+            if !cycle.workers[worker.index].reservation_permits(step, priority) {
                 continue;
             }
-            let free_in_ms = self.places_free_in_ms(cycle.workers[worker.index].slot, &demand);
-            places.extend(free_in_ms.into_iter().map(|wait_ms| (wait_ms, worker.index)));
+            let wait_times_ms =
+                self.place_wait_times_ms(cycle.workers[worker.index].worker_index, &demand);
+            places.extend(wait_times_ms.into_iter().map(|wait_ms| (wait_ms, worker.index)));
         }
         places.sort_unstable();
         places.truncate(tasks);
         let until_ms = now_ms + places.last().map_or(0, |(wait_ms, _)| *wait_ms);
-        let mut slots: Vec<Slot> = Vec::new();
+        let mut chosen_workers: Vec<WorkerIndex> = Vec::new();
         for (_, index) in places {
             if cycle.workers[index].reserved_for.is_some_and(|reserved| reserved.step == step) {
                 continue;
             }
-            if slots.len() >= workers_max {
+            if chosen_workers.len() >= workers_max {
                 break;
             }
             cycle.workers[index].reserved_for = Some(Reservation { priority, step, until_ms });
-            slots.push(cycle.workers[index].slot);
+            chosen_workers.push(cycle.workers[index].worker_index);
         }
-        let reserved = slots.len();
+        let reserved = chosen_workers.len();
         if let Some(job) = self.jobs.get_mut(&step.job) {
-            job.units[unit].reserved = slots;
-            job.units[unit].reserved_ms = now_ms;
-            job.units[unit].reserved_until_ms = until_ms;
+            job.step_states[step_index].reserved = chosen_workers;
+            job.step_states[step_index].reserved_ms = now_ms;
+            job.step_states[step_index].reserved_until_ms = until_ms;
         }
         reserved
     }
@@ -97,17 +98,17 @@
     pub(crate) fn renew_reservation(
         &self,
         step: StepId,
-        unit: usize,
+        step_index: usize,
         priority: u32,
         cycle: &mut Cycle,
         workers_max: usize,
     ) -> usize {
         let Some(job) = self.jobs.get(&step.job) else { return 0 };
         let mut reserved = 0;
-        let until_ms = job.units[unit].reserved_until_ms;
-        for slot in job.units[unit].reserved.iter().take(workers_max) {
-            let Some(index) = cycle.index_of(*slot) else { continue };
-            if cycle.workers[index].admits(step, priority) {
+        let until_ms = job.step_states[step_index].reserved_until_ms;
+        for worker_index in job.step_states[step_index].reserved.iter().take(workers_max) {
+            let Some(index) = cycle.view_index_of(*worker_index) else { continue };
+            if cycle.workers[index].reservation_permits(step, priority) {
                 cycle.workers[index].reserved_for = Some(Reservation { priority, step, until_ms });
                 reserved += 1;
             }
@@ -117,16 +118,16 @@
 
     /// Drops the reservation of a gang that could not start now even if all workers were
     /// free.
-    pub(crate) fn drop_reservation(&mut self, step: StepId, unit: usize) {
+    pub(crate) fn drop_reservation(&mut self, step: StepId, step_index: usize) {
         if let Some(job) = self.jobs.get_mut(&step.job) {
-            job.units[unit].reserved.clear();
+            job.step_states[step_index].reserved.clear();
         }
     }
 
     /// In how long each place on a worker comes free if no further tasks go there; 0 for
     /// those that are free now.
-    fn places_free_in_ms(&self, slot: Slot, demand: &Resources) -> Vec<u64> {
-        let Some(worker) = self.worker_at(slot) else { return Vec::new() };
+    fn place_wait_times_ms(&self, worker_index: WorkerIndex, demand: &Resources) -> Vec<u64> {
+        let Some(worker) = self.worker_at(worker_index) else { return Vec::new() };
         let mut ends: Vec<(u64, &Resources)> = worker
             .tasks
             .iter()
@@ -134,12 +135,12 @@
             .collect();
         ends.sort_unstable_by_key(|(remaining_ms, _)| *remaining_ms);
         let mut free = worker.free();
-        let mut free_in_ms = vec![0; places_in(&free, demand) as usize];
+        let mut wait_times_ms = vec![0; places_in(&free, demand) as usize];
         for (remaining_ms, released) in ends {
             free = free.plus(released);
-            free_in_ms.resize(places_in(&free, demand) as usize, remaining_ms);
+            wait_times_ms.resize(places_in(&free, demand) as usize, remaining_ms);
         }
-        free_in_ms
+        wait_times_ms
     }
 
     /// Estimates the remaining time of a placed task, from its progress if there is enough of
@@ -148,10 +149,13 @@
         let Some(job) = self.jobs.get(&id.step.job).filter(|job| job.outcome.is_none()) else {
             return OVERDUE_MS;
         };
-        let Some(unit) = job.unit_of(id.step) else { return OVERDUE_MS };
-        let Some(task) = job.units[unit].tasks.get(id.index as usize) else { return OVERDUE_MS };
-        let began_ms = if task.began_ms == 0 { self.now_ms } else { task.began_ms };
-        let elapsed_ms = self.now_ms.saturating_sub(began_ms);
+        let Some(step_index) = job.step_index(id.step) else { return OVERDUE_MS };
+        let Some(task) = job.step_states[step_index].tasks.get(id.index as usize) else {
+            return OVERDUE_MS;
+        };
+        let running_since_ms =
+            if task.running_since_ms == 0 { self.now_ms } else { task.running_since_ms };
+        let elapsed_ms = self.now_ms.saturating_sub(running_since_ms);
         let percent = u64::from(task.percent.min(100));
         if percent >= PROGRESS_MIN_PERCENT {
             return elapsed_ms * (100 - percent) / percent;
--- a/crates/pool/src/runs.rs
+++ b/crates/pool/src/runs.rs
@@ -36,9 +36,9 @@
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
         let payload = Arc::clone(&job.payload);
         let needs_ticket = job.spec.queue.advice.is_some();
-        let Some(unit) = job.unit_of(id.step) else { return };
-        let unit = &mut job.units[unit];
-        let Some(task) = unit.tasks.get_mut(id.index as usize) else { return };
+        let Some(step_index) = job.step_index(id.step) else { return };
+        let step_state = &mut job.step_states[step_index];
+        let Some(task) = step_state.tasks.get_mut(id.index as usize) else { return };
         if task.phase != Phase::Recorded || task.run != run {
             return;
         }
@@ -50,7 +50,7 @@
             self.requeue_unstarted(id);
             return;
         };
-        let ticket = unit.advice.granted.get(&worker.slot).filter(|_| needs_ticket);
+        let ticket = step_state.advice.granted.get(&worker.worker_index).filter(|_| needs_ticket);
         if ticket.is_some_and(|ticket| {
             !ticket.is_fresh(worker.info.incarnation, now_ms + START_LATENCY_MS)
         }) {
@@ -63,7 +63,7 @@
         worker.lease_end_max = worker.lease_end_max.max(until_ms);
         task.phase = Phase::Sent;
         task.last_progress_ms = now_ms;
-        job.started = true;
+        job.start_sent = true;
         let to = callee(self.election.epoch, &self.workers, &name);
         let Some(to) = to else { return };
         let checkpoint = task.checkpoint.clone();
@@ -110,8 +110,8 @@
             Ok(StartReply::Started) => {
                 task.phase = Phase::Running { since_turn: turn };
                 task.last_progress_ms = now_ms;
-                task.began_ms = now_ms;
-                self.mark_begun(id);
+                task.running_since_ms = now_ms;
+                self.mark_start_confirmed(id);
             }
             Ok(StartReply::OldRun) | Err(CallError::NoAnswer) => {
                 tracing::warn!(task = %id, run, worker = %from, ?reply, "start not confirmed; the run is stopped");
@@ -132,9 +132,9 @@
     }
 
     /// Records that a worker has begun a task of the job.
-    pub(crate) fn mark_begun(&mut self, id: TaskId) {
+    pub(crate) fn mark_start_confirmed(&mut self, id: TaskId) {
         if let Some(job) = self.jobs.get_mut(&id.step.job) {
-            job.begun = true;
+            job.start_confirmed = true;
         }
     }
 
@@ -208,19 +208,19 @@
     ) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
-        let Some(unit) = job.unit_of(id.step) else { return };
-        let step = job.step(unit);
+        let Some(step_index) = job.step_index(id.step) else { return };
+        let step = job.step_spec(step_index);
         let gang = step.gang;
         let long_running = step.long_running;
         let speculative = step.speculative;
         let job_ended = job.outcome.is_some();
         let Some(task) = job.task_mut(id) else { return };
         let is_newest_run = task.run == run && task.worker.as_ref() == Some(from);
-        let copy_is_done = speculative && end == RunOutcome::Done;
+        let is_speculative_success = speculative && end == RunOutcome::Done;
         if !is_newest_run {
-            if copy_is_done {
+            if is_speculative_success {
                 tracing::info!(task = %id, run, worker = %from, "another run of a speculative task completed");
-                self.on_copy_done(id);
+                self.on_other_run_done(id);
             }
             return;
         }
@@ -229,17 +229,17 @@
             self.release(id);
             return;
         }
-        let copy_done = task.copy_done;
+        let other_run_done = task.other_run_done;
         if !checkpoint.is_empty() {
             checkpoint.clone_into(&mut task.checkpoint);
         }
         // The duration of a run that an earlier leader placed is not known.
-        let took_ms = (task.placed_ms > 0).then(|| now_ms.saturating_sub(task.placed_ms));
+        let took_ms = (task.recorded_ms > 0).then(|| now_ms.saturating_sub(task.recorded_ms));
         tracing::info!(task = %id, run, worker = %from, %end, took_ms, "run ended");
         if let Some(took_ms) = took_ms.filter(|_| end == RunOutcome::Done && run == 1) {
             self.estimates.record_run(&job.spec.queue.name, took_ms);
         }
-        job.begun = true;
+        job.start_confirmed = true;
         self.release(id);
         if let Some(worker) = self.workers.get_mut(from) {
             match end {
@@ -250,7 +250,7 @@
                 _ => {}
             }
         }
-        if job_ended || copy_done {
+        if job_ended || other_run_done {
             return;
         }
         match end {
@@ -267,67 +267,67 @@
 
     fn on_done(&mut self, id: TaskId, gang: bool) {
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
-        let Some(unit) = job.unit_of(id.step) else { return };
+        let Some(step_index) = job.step_index(id.step) else { return };
         let mut members = vec![id.index];
         if gang {
             // The members end together, so when one completes, all of them are done.
-            members = (0..job.units[unit].tasks.len() as u32).collect();
+            members = (0..job.step_states[step_index].tasks.len() as u32).collect();
         }
         for index in members {
-            let task = &mut job.units[unit].tasks[index as usize];
+            let task = &mut job.step_states[step_index].tasks[index as usize];
             if task.phase == Phase::Done {
                 continue;
             }
             // The capacity of another member stays allocated until its worker lists its end.
             task.phase = Phase::Done;
-            job.units[unit].remaining_tasks -= 1;
+            job.step_states[step_index].remaining_tasks -= 1;
         }
-        self.on_unit_progress(id, unit);
+        self.on_unit_progress(id, step_index);
     }
 
     /// Handles the completion of an earlier run of a speculative task. The newest run may
     /// still be active: it is stopped, and its capacity stays allocated until it is gone.
-    fn on_copy_done(&mut self, id: TaskId) {
+    fn on_other_run_done(&mut self, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
-        let Some(unit) = job.unit_of(id.step) else { return };
+        let Some(step_index) = job.step_index(id.step) else { return };
         let job_ended = job.outcome.is_some();
         let Some(task) = job.task_mut(id) else { return };
         if job_ended || task.is_done() {
             return;
         }
-        task.copy_done = true;
+        task.other_run_done = true;
         if task.phase == Phase::Waiting {
             task.phase = Phase::Done;
         }
-        job.units[unit].remaining_tasks -= 1;
+        job.step_states[step_index].remaining_tasks -= 1;
         self.stop(id);
-        self.on_unit_progress(id, unit);
+        self.on_unit_progress(id, step_index);
     }
 
     /// After a task of the unit is done: ends the job or queues the steps that waited for
     /// the unit, if it was the unit's last task.
-    fn on_unit_progress(&mut self, id: TaskId, unit: usize) {
+    fn on_unit_progress(&mut self, id: TaskId, step_index: usize) {
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
-        if job.units[unit].remaining_tasks > 0 {
+        if job.step_states[step_index].remaining_tasks > 0 {
             return;
         }
         // The tickets of a hundred workers take most of a job's memory.
-        job.units[unit].advice = Advice::default();
+        job.step_states[step_index].advice = Advice::default();
         if job.is_done() {
             self.finish(id.step.job, Outcome::Completed);
             return;
         }
-        for other_unit in 0..job.units.len() {
-            self.enqueue_if_ready(id.step.job, other_unit);
+        for other_step_index in 0..job.step_states.len() {
+            self.enqueue_if_ready(id.step.job, other_step_index);
         }
     }
 
     fn on_failed(&mut self, id: TaskId, run: u32, gang: bool) {
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
         let attempts_max = job.spec.queue.attempts_max;
-        let Some(unit) = job.unit_of(id.step) else { return };
+        let Some(step_index) = job.step_index(id.step) else { return };
         let mut failures = 0;
-        for (index, task) in job.units[unit].tasks.iter_mut().enumerate() {
+        for (index, task) in job.step_states[step_index].tasks.iter_mut().enumerate() {
             if (!gang && index as u32 != id.index) || task.failed_run >= run {
                 failures = failures.max(if index as u32 == id.index { task.failures } else { 0 });
                 continue;
@@ -349,11 +349,11 @@
     /// Stops the other members of a gang after one of them ended or did not begin.
     pub(crate) fn stop_other_members(&mut self, id: TaskId) {
         let Some(job) = self.jobs.get(&id.step.job) else { return };
-        let Some(unit) = job.unit_of(id.step) else { return };
-        if !job.step(unit).gang {
+        let Some(step_index) = job.step_index(id.step) else { return };
+        if !job.step_spec(step_index).gang {
             return;
         }
-        for index in 0..job.units[unit].tasks.len() as u32 {
+        for index in 0..job.step_states[step_index].tasks.len() as u32 {
             if index != id.index {
                 self.stop(TaskId { step: id.step, index });
             }
@@ -377,8 +377,8 @@
     /// Puts a task's unit back into the queue if it has tasks to place.
     pub(crate) fn requeue(&mut self, id: TaskId) {
         let Some(job) = self.jobs.get(&id.step.job) else { return };
-        let Some(unit) = job.unit_of(id.step) else { return };
-        self.enqueue_if_ready(id.step.job, unit);
+        let Some(step_index) = job.step_index(id.step) else { return };
+        self.enqueue_if_ready(id.step.job, step_index);
     }
 
     /// Records on which worker a task will run. The start is sent once the row is durable.
@@ -395,8 +395,8 @@
         task.run = run;
         task.percent = 0;
         task.last_progress_ms = now_ms;
-        task.placed_ms = now_ms;
-        task.began_ms = 0;
+        task.recorded_ms = now_ms;
+        task.running_since_ms = 0;
         task.listed_by_worker = false;
         task.pace_percent = None;
         self.commits.mark_dirty(id.step.job, AfterCommit::Start { task: id, run });
--- a/crates/pool/src/speed.rs
+++ b/crates/pool/src/speed.rs
@@ -36,11 +36,13 @@
         let mut tasks = Vec::new();
         for id in worker.tasks.keys() {
             let Some(job) = self.jobs.get(&id.step.job) else { continue };
-            let Some(unit) = job.unit_of(id.step) else { continue };
-            let step = job.step(unit);
-            let Some(task) = job.units[unit].tasks.get(id.index as usize) else { continue };
-            let elapsed_ms = now_ms.saturating_sub(task.began_ms);
-            let running = matches!(task.phase, Phase::Running { .. }) && task.began_ms > 0;
+            let Some(step_index) = job.step_index(id.step) else { continue };
+            let step = job.step_spec(step_index);
+            let Some(task) = job.step_states[step_index].tasks.get(id.index as usize) else {
+                continue;
+            };
+            let elapsed_ms = now_ms.saturating_sub(task.running_since_ms);
+            let running = matches!(task.phase, Phase::Running { .. }) && task.running_since_ms > 0;
             let not_comparable = step.long_running || step.gang || step.fills;
             if !running || not_comparable || elapsed_ms < TASK_TIME_MIN_MS {
                 continue;
--- a/crates/pool/src/stalled.rs
+++ b/crates/pool/src/stalled.rs
@@ -32,19 +32,19 @@
             if job.outcome.is_some() && !job.has_placed_tasks() {
                 continue;
             }
-            for (unit_index, unit) in job.units.iter().enumerate() {
-                if unit.tasks.iter().all(|task| task.worker.is_none()) {
+            for (step_index, step_state) in job.step_states.iter().enumerate() {
+                if step_state.tasks.iter().all(|task| task.worker.is_none()) {
                     continue;
                 }
-                let step = job.step(unit_index);
+                let step = job.step_spec(step_index);
                 let gang_ms = if step.gang { GANG_STALL_MS } else { 0 };
                 let stall_ms = STALL_MS.max(step.estimate_ms * STALL_PERCENT / 100) + gang_ms;
                 // A finished member of a gang shows no progress while it waits for the others,
                 // so the latest progress of any member counts.
                 let gang_progress_ms =
-                    unit.tasks.iter().map(|task| task.last_progress_ms).max().unwrap_or(0);
-                for (index, task) in unit.tasks.iter().enumerate() {
-                    let id = TaskId { step: unit.id, index: index as u32 };
+                    step_state.tasks.iter().map(|task| task.last_progress_ms).max().unwrap_or(0);
+                for (index, task) in step_state.tasks.iter().enumerate() {
+                    let id = TaskId { step: step_state.id, index: index as u32 };
                     let progress_ms =
                         if step.gang { gang_progress_ms } else { task.last_progress_ms };
                     match task.phase {
@@ -90,7 +90,7 @@
     fn move_stalled(&mut self, id: TaskId) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
-        let gang = job.unit_of(id.step).is_some_and(|unit| job.step(unit).gang);
+        let gang = job.step_index(id.step).is_some_and(|step_index| job.step_spec(step_index).gang);
         let Some(task) = job.task_mut(id) else { return };
         if !matches!(task.phase, Phase::Running { .. }) {
             return;
@@ -98,7 +98,7 @@
         let Some(name) = task.worker.clone() else { return };
         let Some(worker) = self.workers.get_mut(&name) else { return };
         // Only later answers of the worker prove that the task has stalled and not the link.
-        if worker.answered_ms < task.last_progress_ms.max(task.placed_ms) + STALL_MS {
+        if worker.answered_ms < task.last_progress_ms.max(task.recorded_ms) + STALL_MS {
             return;
         }
         if gang {
--- a/crates/pool/src/submit.rs
+++ b/crates/pool/src/submit.rs
@@ -53,7 +53,7 @@
         let mut job = self.new_job(id, spec);
         job.durable = false;
         self.admit(job);
-        self.note_submission(id);
+        self.schedule_submission_write(id);
         if self.early_cancels.remove(&id) {
             self.on_cancelled(id);
         }
@@ -93,10 +93,10 @@
     fn drop_submission(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
         let mut placed = Vec::new();
-        for unit in &job.units {
-            for (index, task) in unit.tasks.iter().enumerate() {
+        for step_state in &job.step_states {
+            for (index, task) in step_state.tasks.iter().enumerate() {
                 if task.worker.is_some() {
-                    placed.push(TaskId { step: unit.id, index: index as u32 });
+                    placed.push(TaskId { step: step_state.id, index: index as u32 });
                 }
             }
         }
--- a/crates/pool/src/wakeup.rs
+++ b/crates/pool/src/wakeup.rs
@@ -20,13 +20,13 @@
         let timed: BTreeSet<StepId> = self.not_due.iter().map(|(_, step)| *step).collect();
         let mut stuck = Vec::new();
         for job in self.jobs.values().filter(|job| job.outcome.is_none()) {
-            for (unit_index, unit) in job.units.iter().enumerate() {
-                let scheduled = queued.contains(&unit.id) || timed.contains(&unit.id);
-                for (index, task) in unit.tasks.iter().enumerate() {
-                    let Some(reason) = self.missing_wakeup(job, unit_index, task, scheduled) else {
+            for (step_index, step_state) in job.step_states.iter().enumerate() {
+                let scheduled = queued.contains(&step_state.id) || timed.contains(&step_state.id);
+                for (index, task) in step_state.tasks.iter().enumerate() {
+                    let Some(reason) = self.missing_wakeup(job, step_index, task, scheduled) else {
                         continue;
                     };
-                    stuck.push(format!("{}.{index}: {reason}", unit.id));
+                    stuck.push(format!("{}.{index}: {reason}", step_state.id));
                 }
             }
         }
@@ -37,16 +37,18 @@
     fn missing_wakeup(
         &self,
         job: &Job,
-        unit: usize,
+        step_index: usize,
         task: &Task,
         scheduled: bool,
     ) -> Option<&'static str> {
         match task.phase {
-            Phase::Waiting if job.is_ready(unit) && !scheduled => Some("waits outside the queue"),
-            Phase::Reserved if job.units[unit].advice.queries == 0 => {
+            Phase::Waiting if job.is_ready(step_index) && !scheduled => {
+                Some("waits outside the queue")
+            }
+            Phase::Reserved if job.step_states[step_index].advice.queries == 0 => {
                 Some("has room, and nobody asks for its ticket")
             }
-            Phase::Recorded if !self.commits.has_pending(job.id) => {
+            Phase::Recorded if !self.commits.is_write_pending(job.id) => {
                 Some("has room, and its row is not written")
             }
             Phase::Sent if self.is_start_lost(task) => Some("was sent, and no answer came"),
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -28,7 +28,7 @@
 
 /// The index of a worker in its pool; never reused for another worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) struct Slot(pub usize);
+pub(crate) struct WorkerIndex(pub usize);
 
 /// The resources that a run takes.
 #[derive(Clone, Copy, Debug)]
@@ -43,7 +43,7 @@
 /// A worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
-    pub slot: Slot,
+    pub worker_index: WorkerIndex,
     pub info: WorkerUpdate,
     pub listed: bool,
     /// Counts the restarts seen. It is part of the fencing token, so that requests meant for
@@ -74,7 +74,7 @@
     /// Tasks placed on this worker.
     pub tasks: BTreeMap<TaskId, Allocation>,
     /// Allocations of runs that the worker reported and the scheduler does not want.
-    pub unwanted_runs: Vec<Allocation>,
+    pub unwanted_allocations: Vec<Allocation>,
     pub used: Resources,
     /// What the runs of each customer count towards its cap.
     pub by_customer: BTreeMap<CustomerId, Resources>,
@@ -100,9 +100,13 @@
 }
 
 impl Worker {
-    pub fn new(slot: Slot, update: WorkerUpdate, earlier_lease_expiry_ms: u64) -> Self {
+    pub fn new(
+        worker_index: WorkerIndex,
+        update: WorkerUpdate,
+        earlier_lease_expiry_ms: u64,
+    ) -> Self {
         Self {
-            slot,
+            worker_index,
             info: update,
             listed: true,
             incarnations: 0,
@@ -118,7 +122,7 @@
             last_processed_end: 0,
             non_durable_ends: BTreeSet::new(),
             tasks: BTreeMap::new(),
-            unwanted_runs: Vec::new(),
+            unwanted_allocations: Vec::new(),
             used: Resources::ZERO,
             by_customer: BTreeMap::new(),
             failures: 0,
@@ -149,7 +153,7 @@
         self.lease_end_max = 0;
         self.last_processed_end = 0;
         self.non_durable_ends.clear();
-        self.unwanted_runs.clear();
+        self.unwanted_allocations.clear();
         self.failures = 0;
         self.quarantine_until_ms = 0;
         self.pace_percent = FULL_PACE;
@@ -162,8 +166,8 @@
     }
 
     /// Whether the worker would be open but for a quarantine after failed runs.
-    pub fn is_only_suspect(&self, now_ms: u64) -> bool {
-        self.is_reachable(now_ms) && self.quarantine_until_ms > now_ms && self.is_suspect()
+    pub fn is_quarantined_for_failures(&self, now_ms: u64) -> bool {
+        self.is_reachable(now_ms) && self.quarantine_until_ms > now_ms && self.has_recent_failures()
     }
 
     fn is_reachable(&self, now_ms: u64) -> bool {
@@ -175,7 +179,7 @@
     }
 
     /// Whether a run has failed or stalled here since the last successful one.
-    pub fn is_suspect(&self) -> bool {
+    pub fn has_recent_failures(&self) -> bool {
         self.failures > 0
     }
 
@@ -202,7 +206,7 @@
     pub fn recompute_usage(&mut self) {
         let mut used = Resources::ZERO;
         let mut by_customer: BTreeMap<CustomerId, Resources> = BTreeMap::new();
-        for allocation in self.tasks.values().chain(&self.unwanted_runs) {
+        for allocation in self.tasks.values().chain(&self.unwanted_allocations) {
             used = used.plus(&allocation.worker_demand);
             if let Some(customer) = allocation.customer {
                 let sum = by_customer.entry(customer).or_default();
--- a/crates/pool/tests/record.rs
+++ b/crates/pool/tests/record.rs
@@ -5,8 +5,15 @@
 use stoatwell_pool::Progress;
 use stoatwell_pool::TaskProgress;
 
-fn task(unit: u32, index: u32) -> TaskProgress {
-    TaskProgress { unit, index, run: 2, failures: 1, failed_run: 1, ..TaskProgress::default() }
+fn task(step_index: u32, index: u32) -> TaskProgress {
+    TaskProgress {
+        step_index,
+        index,
+        run: 2,
+        failures: 1,
+        failed_run: 1,
+        ..TaskProgress::default()
+    }
 }
 
 #[test]
