--- a/crates/pool/src/advise.rs
+++ b/crates/pool/src/advise.rs
@@ -1,7 +1,10 @@
 //! Queries to the advisor, which decides on which workers a step may run.
 //!
-//! The set of granted workers does not change over time; only the tickets, which
-//! prove a grant to a worker, expire. A step therefore queries enough workers
+//! In spite of its name, the advisor's decision is binding: if a queue has an advisor, a
+//! worker starts a task only with a valid ticket. A ticket is the advisor's proof that the
+//! step may run on that worker, and is valid for a limited time.
+//!
+//! The set of granted workers does not change over time; only the tickets expire. A step therefore queries enough workers
 //! once and keeps the result. Just before a start it queries the few chosen
 //! workers again if a ticket of theirs is too old. The tasks keep their
 //! allocations on these workers until the answer arrives.
--- a/crates/pool/src/choose.rs
+++ b/crates/pool/src/choose.rs
@@ -1,4 +1,4 @@
-//! Selection of workers for the tasks of a unit.
+//! Selection of workers for the tasks of a step.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -13,15 +13,17 @@
 use crate::worker::Worker;
 use crate::worker::WorkerIndex;
 
-/// Capacity that other work leaves free for urgent work, in percent of what urgent work
-/// currently uses: enough to place twice the usual arrivals at once while running tasks
-/// end.
+/// Capacity that other work leaves free for urgent work, in percent of the moving average of
+/// what urgent work uses. This is enough to place twice the usual arrivals at once, because
+/// capacity also comes free as running tasks end.
 const HEADROOM_PERCENT: u64 = 80;
 
-/// Capacity that work with much slack leaves free for the priorities between urgent and
-/// its own, in percent of what they currently use. Work has much slack if it could wait
-/// for its own expected duration and still be in time. Gangs need much capacity at one
-/// moment, which such work would otherwise take bit by bit.
+/// Capacity that work with much slack leaves free for the priorities between urgent and its
+/// own, in percent of the moving average of what those priorities use.
+///
+/// Work has much slack if it could wait for its own expected duration and still be in time.
+/// Without this limit, such work would take capacity bit by bit as it comes free, and gangs
+/// would not find the much larger capacity that they need at one moment.
 const SLACK_HEADROOM_PERCENT: u64 = 20;
 
 /// The state of one scheduling cycle: the workers that may get tasks, with the capacity
@@ -29,7 +31,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Cycle {
     pub workers: Vec<WorkerView>,
-    /// Indices into `workers` by the workers' slots; `None` for workers that take no tasks.
+    /// Indices into `workers` by [`WorkerIndex`]; `None` for workers that take no tasks.
     view_indices: Vec<Option<u32>>,
     services: Vec<Service>,
     /// What each customer uses, by [`CustomerId`](crate::customers::CustomerId).
@@ -55,9 +57,10 @@
     has_recent_failures: bool,
     pub free: Resources,
     pub capacity: Resources,
-    /// The waiting gang that the worker is reserved for. Meanwhile only work of higher
-    /// priority may go here, and work that ends before the gang could start. Smaller
-    /// gangs of the same priority would otherwise overtake a large one again and again.
+    /// The waiting gang that the worker is reserved for. While it is reserved, the worker
+    /// takes no other work except work of higher priority, and work that ends before the
+    /// gang could start. Otherwise smaller gangs of the same priority would overtake a large
+    /// one again and again.
     pub reserved_for: Option<Reservation>,
 }
 
@@ -66,12 +69,12 @@
 pub(crate) struct Reservation {
     pub priority: u32,
     pub step: StepId,
-    /// When capacity for the last of its tasks is expected to come free; until then the
-    /// reserved capacity would be idle.
+    /// When capacity for the last of its tasks is expected to come free. The gang cannot
+    /// start before that, so work that ends earlier may use the reserved capacity.
     pub until_ms: u64,
 }
 
-/// A request to place tasks of a unit.
+/// A request to place tasks of a step.
 #[derive(Debug)]
 pub(crate) struct PlacementRequest<'a> {
     pub step: StepId,
@@ -84,35 +87,37 @@
     pub headroom: Resources,
 }
 
-/// A worker that may run a unit's tasks, whether or not it has free capacity.
+/// A worker that may run a step's tasks, whether or not it has free capacity.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EligibleWorker {
     /// The index in [`Cycle::workers`].
     pub index: usize,
-    /// Whether a start needs no ticket or would arrive with a valid one.
+    /// Whether the advisor need not be queried before a start: the queue has no advisor, or
+    /// the step has a ticket for this worker that will still be valid when a start arrives.
     pub needs_no_new_ticket: bool,
 }
 
-/// An eligible worker with free capacity for a task of the unit.
+/// An eligible worker with free capacity for a task of the step.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
     /// The index in [`Cycle::workers`].
     index: usize,
     /// Penalty that is added to the share of capacity left free; see [`Cycle::score`].
     penalty: f64,
-    /// Tasks of the unit on this worker. Only counted if the step limits them.
-    unit_tasks: u32,
+    /// Tasks of the step on this worker. Only counted if the step limits them.
+    tasks_on_worker: u32,
 }
 
 impl WorkerView {
-    /// Whether the worker's reservation lets this unit use it.
+    /// Whether the worker is free of a reservation that excludes a step of this priority.
     pub fn reservation_permits(&self, step: StepId, priority: u32) -> bool {
         self.reserved_for
             .is_none_or(|reserved| reserved.step == step || priority < reserved.priority)
     }
 
-    /// Whether a task of this unit may start here now: as [`Self::reservation_permits`], or because it
-    /// is expected to end before the gang with the reservation could start.
+    /// Whether the reservation, if any, lets a task of this step start here now. In addition
+    /// to what [`Self::reservation_permits`], a task may start that is expected to end before
+    /// the gang with the reservation could start.
     fn may_start_here(&self, request: &PlacementRequest<'_>) -> bool {
         self.reservation_permits(request.step, request.priority)
             || self
@@ -164,13 +169,13 @@
         let mut waiting = waiting.iter();
         for mut candidate in candidates {
             while self.workers[candidate.index].free.holds(&demand)
-                && (per_worker_max == 0 || candidate.unit_tasks < per_worker_max)
+                && (per_worker_max == 0 || candidate.tasks_on_worker < per_worker_max)
             {
                 if !self.leaves_headroom(request, &demand) {
                     return chosen;
                 }
                 let Some(task_index) = waiting.next() else { return chosen };
-                candidate.unit_tasks += 1;
+                candidate.tasks_on_worker += 1;
                 self.allocate(candidate.index, &demand);
                 chosen.push((*task_index, candidate.index));
             }
@@ -196,8 +201,8 @@
 impl Pool {
     /// Starts a scheduling cycle with the workers that take tasks now.
     ///
-    /// These are the open workers, and those in quarantine only for failed runs in
-    /// services where [`Pool::services_enforcing_quarantine`] does not blame the workers.
+    /// These are the open workers. Workers that are closed only by a quarantine for failed
+    /// runs are added if their service is not in [`Pool::services_enforcing_quarantine`].
     pub(crate) fn begin_cycle(&self) -> Cycle {
         let mut cycle = Cycle { customers: self.customer_usage(), ..Cycle::default() };
         cycle.workers.reserve(self.workers.len());
@@ -231,15 +236,16 @@
         cycle
     }
 
-    /// The worker with this slot; `None` if it has been removed.
+    /// The worker with this index; `None` if it has been removed.
     pub(crate) fn worker_at(&self, worker_index: WorkerIndex) -> Option<&Worker> {
         self.workers.get(self.worker_names.get(worker_index.0)?)
     }
 
-    /// Services whose failed runs are presumably caused by their workers.
+    /// Services in which a worker with failed runs stays in quarantine.
     ///
-    /// If runs fail on most workers of a service, the tasks themselves are presumably at
-    /// fault. With all of these workers in quarantine, nothing of the service would run.
+    /// Elsewhere, more workers are in quarantine for failed runs than are open. If runs fail
+    /// on most workers of a service, the tasks themselves are presumably at fault, and if all
+    /// of these workers stayed in quarantine, no task of the service would run.
     fn services_enforcing_quarantine(&self) -> Vec<&str> {
         // Service, open workers, workers in quarantine for failed runs. A list is enough
         // since there are few services.
@@ -271,7 +277,7 @@
         cycle: &Cycle,
     ) -> Vec<Candidate> {
         let demand = spec.worker_demand();
-        let unit_tasks = self.unit_tasks_by_worker(step, step_index, spec);
+        let tasks_on_worker = self.tasks_by_worker(step, step_index, spec);
         let mut candidates = Vec::with_capacity(eligible.len());
         for worker in eligible {
             let view = &cycle.workers[worker.index];
@@ -284,8 +290,8 @@
             let avoid = outside_rack || view.has_recent_failures;
             let penalty =
                 f64::from(u8::from(avoid)) * 4.0 + f64::from(u8::from(!worker.needs_no_new_ticket));
-            let unit_tasks = unit_tasks.get(&view.worker_index).copied().unwrap_or(0);
-            candidates.push(Candidate { index: worker.index, penalty, unit_tasks });
+            let tasks_on_worker = tasks_on_worker.get(&view.worker_index).copied().unwrap_or(0);
+            candidates.push(Candidate { index: worker.index, penalty, tasks_on_worker });
         }
         candidates
     }
@@ -315,8 +321,8 @@
         }
         let mut order: Vec<(&str, (u64, Vec<Candidate>))> = racks.into_iter().collect();
         order.retain(|(_, (places, _))| *places >= waiting.len() as u64);
-        // The rack that the unit already uses first, then those with the least free
-        // capacity, so that large parts of the others stay whole.
+        // The rack that the step already uses first, then those with the least free
+        // capacity: racks with much free capacity are left for large steps.
         order.sort_by_key(|(rack, (places, _))| (Some(*rack) != current_rack, *places));
         for (_, (_, members)) in order {
             let chosen = cycle.choose(request, waiting, members);
@@ -330,14 +336,14 @@
         cycle.choose(request, waiting, candidates)
     }
 
-    /// The rack of the first task of the unit that is on a worker.
+    /// The rack of the first task of the step that is on a worker.
     fn rack_in_use(&self, step: StepId, step_index: usize) -> Option<&str> {
         let tasks = &self.jobs.get(&step.job)?.step_states[step_index].tasks;
         let name = tasks.iter().find_map(|task| task.worker.as_ref())?;
         self.workers.get(name)?.rack()
     }
 
-    /// Capacity of the service that a unit has to leave free for work of higher priority.
+    /// Capacity of the service that a step has to leave free for work of higher priority.
     pub(crate) fn headroom(&self, step: StepId, key: QueueKey) -> Resources {
         let Some(job) = self.jobs.get(&step.job).filter(|_| key.priority > 0) else {
             return Resources::ZERO;
@@ -351,8 +357,8 @@
         urgent.plus(&between.share(SLACK_HEADROOM_PERCENT, 100))
     }
 
-    /// How many tasks of the unit each worker has; empty if the step sets no limit.
-    fn unit_tasks_by_worker(
+    /// How many tasks of the step each worker has; empty if the step sets no limit.
+    fn tasks_by_worker(
         &self,
         step: StepId,
         step_index: usize,
--- a/crates/pool/src/commit.rs
+++ b/crates/pool/src/commit.rs
@@ -3,10 +3,11 @@
 //!
 //! Rows are spread over partitions of the store. The store processes the transactions of a
 //! partition one after the other, so each partition has at most one batch in flight. While
-//! the store is fast, the rows of several partitions share a transaction: with hundreds of
-//! starts and ends a second, one call for each would cost more than it saves. While the
-//! store is slow or some of its partitions fail, each partition has its own transactions, so
-//! that none waits for the slowest.
+//! the store is fast, the rows of several partitions share a batch. There are hundreds of
+//! starts and ends a second; with a call to the store for each partition, the calls would
+//! take more time than the partitions gain by not waiting for each other. While the store
+//! is slow or some of its partitions fail, each partition has its own batches, so that none
+//! waits for the slowest.
 //!
 //! Submissions are made durable here too. The write of a submission is delayed briefly for
 //! its first start, which then needs no write of its own.
@@ -35,11 +36,11 @@
 const MULTI_PARTITION_BATCHES_MAX: usize = 1;
 /// The store is slow if it takes longer than this for a batch.
 const SLOW_BATCH_MS: u64 = 60;
-/// A batch counts with at most this time in the mean: one that waited for the end of an
-/// outage says little about the next.
+/// Upper bound of the time that a single batch adds to the mean. After an outage the time
+/// of a batch includes the wait for its end, and says little about the next batch.
 const BATCH_SAMPLE_MAX_MS: u64 = 500;
-/// How long the write of a submission is delayed for its first start: a few round trips to
-/// the advisor.
+/// How long the write of a submission is delayed for its first start. The start may need a
+/// ticket from the advisor, and a few round trips to the advisor fit into this time.
 const FIRST_START_WAIT_MS: u64 = 40;
 /// A partition is stuck if its batch takes longer than this and longer than
 /// [`STUCK_FACTOR`] times the mean.
@@ -68,8 +69,9 @@
 #[derive(Debug, Default)]
 struct Partition {
     dirty: BTreeMap<JobId, Dirty>,
-    /// The dirty jobs in the order in which they became dirty. In the order of their
-    /// numbers, some would wait for as long as more jobs are dirty than fit into a batch.
+    /// The dirty jobs in the order in which they became dirty. They are written in this
+    /// order: in the order of the jobs' ids, jobs with high ids would starve whenever more
+    /// jobs are dirty than fit into a batch.
     order: VecDeque<JobId>,
     removes: Vec<JobId>,
     in_flight: Option<InFlight>,
@@ -88,7 +90,7 @@
 struct InFlight {
     batch: u64,
     since_ms: u64,
-    /// Whether the transaction may span several partitions.
+    /// Whether the batch may have writes to other partitions too.
     multi_partition: bool,
     jobs: Vec<JobId>,
     actions: Vec<AfterCommit>,
@@ -186,21 +188,21 @@
         true
     }
 
-    /// Whether a job's row is being written or waits to be written.
+    /// Whether a row of this job is being written or waits to be written.
     pub fn is_write_pending(&self, job: JobId) -> bool {
         let partition = &self.partitions[job.partition()];
         partition.dirty.contains_key(&job)
             || partition.in_flight.as_ref().is_some_and(|batch| batch.jobs.contains(&job))
     }
 
-    /// Whether a partition's batch takes so long that new writes would only wait behind it.
+    /// Whether a partition's batch takes so long that new writes would only wait for it.
     fn is_stuck(&self, partition: usize, now_ms: u64) -> bool {
         let allowed_ms = STUCK_MIN_MS.max(self.mean_batch_ms * STUCK_FACTOR);
         let since_ms = self.partitions[partition].in_flight.as_ref().map(|batch| batch.since_ms);
         since_ms.is_some_and(|since_ms| since_ms + allowed_ms < now_ms)
     }
 
-    /// Jobs whose rows wait behind a stuck partition.
+    /// Jobs with rows that wait for the batch of a stuck partition.
     fn jobs_in_stuck_partitions(&self, now_ms: u64) -> Vec<JobId> {
         let mut waiting = Vec::new();
         for (number, partition) in self.partitions.iter().enumerate() {
@@ -227,7 +229,7 @@
             || in_flight.any(|batch| batch.since_ms + SLOW_BATCH_MS < now_ms)
     }
 
-    /// Whether a row is being written or waits to be written.
+    /// Whether a row of any job is being written or waits to be written.
     pub fn has_pending_writes(&self) -> bool {
         self.partitions
             .iter()
@@ -257,20 +259,20 @@
 }
 
 impl Pool {
-    /// Requests that a submission is made durable, together with its first start if that
-    /// is chosen soon.
+    /// Requests that a submission is made durable. The write is delayed briefly, so that it
+    /// includes the first start if a worker is chosen soon.
     pub(crate) fn schedule_submission_write(&mut self, job: JobId) {
         let due_ms = self.now_ms + FIRST_START_WAIT_MS;
         self.commits.mark_dirty_by(job, AfterCommit::Accept(job), due_ms);
     }
 
-    /// Whether a submission would wait behind a stuck partition.
+    /// Whether a submission would have to wait for the batch of a stuck partition.
     pub(crate) fn is_partition_stuck(&self, job: JobId) -> bool {
         self.commits.is_stuck(job.partition(), self.now_ms)
     }
 
-    /// Refuses submissions that wait behind a stuck partition, while their callers still
-    /// have time to retry.
+    /// Rejects submissions that wait for the batch of a stuck partition, while their
+    /// callers still have time to retry.
     pub(crate) fn reject_stuck_submissions(&mut self) {
         for id in self.commits.jobs_in_stuck_partitions(self.now_ms) {
             if self.withdraw(id) {
@@ -303,7 +305,7 @@
         self.send_batch(batch, true);
     }
 
-    /// Adds a partition's due rows and removals to a group, as far as there is space.
+    /// Adds a partition's due rows and removals to a batch, as far as there is space.
     fn fill_batch(&mut self, partition: usize, batch: &mut Batch) {
         let now_ms = self.now_ms;
         let pending = &mut self.commits.partitions[partition];
@@ -407,7 +409,7 @@
 /// Entries that the removal of one job needs in a transaction.
 const ENTRIES_PER_REMOVAL: usize = 3;
 
-/// Writes that are sent as one transaction.
+/// Writes that are sent to the store together, in one [`Effect::Commit`].
 #[derive(Debug, Default)]
 struct Batch {
     writes: Vec<PartitionWrite>,
--- a/crates/pool/src/customers.rs
+++ b/crates/pool/src/customers.rs
@@ -25,9 +25,9 @@
 pub struct CustomerLimits {
     /// The customer's name.
     pub name: CustomerName,
-    /// The customer's share of a full pool, and the jobs per second that it may expect to be
-    /// served. Jobs beyond it wait for those of the same priority that other customers send
-    /// within their weights.
+    /// The rate of jobs that is the customer's share of a full pool, in jobs per second. If
+    /// the customer submits jobs at a higher rate, the excess jobs are served after the jobs
+    /// of the same priority that are within the weight of their customer.
     pub weight: f64,
     /// What the customer's tasks may use on all workers together; 0 means no limit for that
     /// resource.
@@ -56,9 +56,9 @@
 #[derive(Debug)]
 pub(crate) struct Account {
     pub limits: CustomerLimits,
-    /// The jobs that may arrive now within the weight.
+    /// The tokens in the bucket. Each job takes one; a job that finds none exceeds the weight.
     tokens: f64,
-    /// When the allowance was last refilled.
+    /// When tokens were last added.
     refilled_unix_ms: u64,
 }
 
@@ -90,8 +90,9 @@
         id
     }
 
-    /// Counts a job accepted at `accepted_unix_ms` and returns whether it is within the
-    /// customer's weight. With a weight of 0 no job is.
+    /// Takes a token for a job that was accepted at `accepted_unix_ms`. Returns whether there
+    /// was one, that is, whether the job is within the customer's weight. With a weight of 0
+    /// no job is.
     pub fn take_arrival_token(&mut self, id: CustomerId, accepted_unix_ms: u64) -> bool {
         let account = &mut self.accounts[id.0];
         let weight = account.limits.weight;
@@ -135,12 +136,12 @@
         remaining(&self.customers.get(id).limits.cap, &used).fit_count(demand)
     }
 
-    /// Whether a gang waits because of its customer's cap.
+    /// Whether a gang cannot start now because its customer would exceed its cap.
     pub(crate) fn blocked_by_cap(&self, step: StepId, step_index: usize) -> bool {
         self.jobs.get(&step.job).is_some_and(|job| job.step_states[step_index].blocked_by_cap)
     }
 
-    /// Sets whether a gang waits because of its customer's cap.
+    /// Sets whether a gang cannot start now because its customer would exceed its cap.
     pub(crate) fn set_blocked_by_cap(
         &mut self,
         step: StepId,
--- a/crates/pool/src/event.rs
+++ b/crates/pool/src/event.rs
@@ -1,7 +1,8 @@
 //! The inputs of the pool (events) and its outputs (effects).
 //!
-//! Runs are tracked by hold calls: long polls that renew a worker's lease and return
-//! the runs that are active or ended there.
+//! Runs are tracked by hold calls. A hold is a long poll of a worker: it renews the
+//! lease under which the worker may keep its runs, and returns the runs that are active
+//! or ended there.
 
 use std::sync::Arc;
 
@@ -34,9 +35,10 @@
         /// The job to cancel.
         job: JobId,
     },
-    /// A worker was added to the worker list, or its entry changed.
+    /// A worker was added to the list of workers that the scheduler is given, or its entry
+    /// in this list changed.
     Listed(WorkerUpdate),
-    /// A worker was removed from the worker list. Its runs may still be active.
+    /// A worker was removed from the list of workers. Its runs may still be active.
     Unlisted {
         /// The worker that is no longer listed.
         worker: WorkerId,
@@ -45,7 +47,7 @@
     Held {
         /// The worker that was called.
         worker: WorkerId,
-        /// The turn of the pool in which the call was made.
+        /// The turn in which the call was made, as in [`HoldCall::turn`].
         turn: u64,
         /// The worker's runs, or why they are not known.
         reply: Result<HoldReply, CallError>,
@@ -72,7 +74,7 @@
         /// Whether the worker received the stop.
         reply: Result<(), CallError>,
     },
-    /// A call that sets a run's pace was answered or failed.
+    /// A call that sets a run's pace (its speed limit) was answered or failed.
     Paced {
         /// The task whose pace was set.
         task: TaskId,
@@ -175,7 +177,7 @@
 pub struct HoldReply {
     /// The time on the worker's own clock, in milliseconds.
     pub clock_ms: u64,
-    /// The incarnation of the worker that answers.
+    /// The incarnation of the worker that answers; see [`WorkerUpdate::incarnation`].
     pub life: u64,
     /// The runs that have not ended.
     pub active: Vec<ActiveRun>,
@@ -288,7 +290,7 @@
     Start(StartCall),
     /// Stop a run.
     Stop(StopCall),
-    /// Set the pace of a run.
+    /// Set the pace (speed limit) of a run.
     Pace(PaceCall),
     /// Ask the advisor which workers may run a step.
     Advise {
@@ -342,7 +344,9 @@
     pub forget: u64,
     /// How long the worker may wait for a run to end before it answers.
     pub wait_ms: u64,
-    /// The turn of the pool in which the call was made; returned with the answer.
+    /// The turn in which the call was made, which is the number of the
+    /// [`Pool::poll_effects`](crate::Pool::poll_effects) call that returned it. It comes back
+    /// with the answer, to tell what the worker knew when it answered.
     pub turn: u64,
 }
 
--- a/crates/pool/src/holds.rs
+++ b/crates/pool/src/holds.rs
@@ -23,9 +23,9 @@
 use crate::runs::callee;
 use crate::worker::Worker;
 
-/// How long a worker may delay the answer to a hold until a run ends. This costs two
-/// calls a second for an idle worker, and shows within a second that tasks make no
-/// progress.
+/// How long a worker may delay the answer to a hold until a run ends. An idle worker costs
+/// two calls a second. Each answer also reports the progress of the active runs, so tasks
+/// that make none are noticed within a second.
 const HOLD_WAIT_MS: u64 = 500;
 /// Number of workers above which a hold waits twice as long. Holds that report nothing new
 /// would take much of the scheduler's CPU time.
@@ -38,16 +38,23 @@
 /// arrived. The caller's own timeout is well below this.
 const HOLD_LOST_MS: u64 = 4_000;
 /// How long after its last renewal of the leader lease a scheduler extends the leases of
-/// workers. After that, another scheduler may be the leader, and each of the two may reach
-/// workers that the other one does not; tasks would run twice if both relied on their
-/// workers. A store outage of this time plus a worker's lease, ten seconds together, ends
-/// without the loss of a run.
+/// workers.
+///
+/// After that, another scheduler may be the leader. Each of the two may reach workers that
+/// the other one does not reach. If the former leader still extended leases then, its runs
+/// would continue while the new leader starts the same tasks elsewhere.
+///
+/// When the store is down, the leader cannot renew its lease, but runs continue for this
+/// time and then until the workers' leases expire. So an outage of up to ten seconds, which
+/// is the sum of the two, costs no run.
 pub const EXTENSION_WINDOW_MS: u64 = 4_000;
 /// Margin added to the lease that an earlier scheduler may have granted, for calls in
 /// flight.
 const IN_FLIGHT_MARGIN_MS: u64 = 500;
-/// How long after it was sent a request may still take effect on a worker that has not
-/// answered a hold since. Workers execute requests up to 12 s late.
+/// Time after which a request can no longer take effect on a worker, counted from when the
+/// request was sent. Workers execute requests up to 12 s late. The bound matters for a worker
+/// that has not answered a hold under its newest token yet; after that answer it refuses
+/// earlier requests.
 const LATE_REQUEST_MS: u64 = 13_000;
 
 impl Pool {
@@ -85,8 +92,8 @@
         self.started_ms + self.election.earlier_extends_ms + lease_ms
     }
 
-    /// Notes a renewal of the leader lease at `renewed_ms`, in steady time. The leases of
-    /// workers may be extended until [`EXTENSION_WINDOW_MS`] after it.
+    /// Handles a renewal of the leader lease at `renewed_ms`, by the monotonic clock. The
+    /// leases of workers may be extended until [`EXTENSION_WINDOW_MS`] after it.
     pub fn on_leader_lease_renewed(&mut self, renewed_ms: u64) {
         self.leader_lease_renewed_ms = self.leader_lease_renewed_ms.max(renewed_ms);
     }
@@ -98,10 +105,12 @@
     }
 
     /// Handles a restart of a worker: no run that it reported before exists any more.
+    /// `life` is the number of the new incarnation.
     ///
-    /// Starts that were in flight may have reached the new incarnation, which had no reason
-    /// to refuse their token. If they counted as lost, their tasks would run twice, so they
-    /// are kept; the first hold under the new token tells which of them run.
+    /// A start that was in flight may have reached the new incarnation. The new incarnation
+    /// accepts it, since it has not seen a higher token yet. If the scheduler treated such a
+    /// run as lost, it would start the task a second time. So runs that the worker has not
+    /// reported yet are kept; the first hold under the new token tells which of them exist.
     pub(crate) fn begin_incarnation(&mut self, name: &WorkerId, life: u64) {
         tracing::warn!(worker = %name, life, "worker restarted");
         let Some(worker) = self.workers.get(name) else { return };
@@ -134,7 +143,8 @@
     pub(crate) fn lose_worker(&mut self, name: &WorkerId, why: &str) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         if std::mem::replace(&mut worker.lost, true) && worker.tasks.is_empty() {
-            // Its list entry outlives the worker, and each hold would bring the same result.
+            // The worker list still has an entry for the lost worker, and something else
+            // answers at its address. An immediate hold would only fail in the same way.
             worker.next_hold_ms = self.now_ms + LOST_WORKER_HOLD_DELAY_MS;
             return;
         }
@@ -293,8 +303,8 @@
         self.stop_unwanted_runs(name, reported.into_keys().collect());
     }
 
-    /// Stops reported runs that the scheduler does not want. Until they are gone they
-    /// count with the allocations that they were started with.
+    /// Stops reported runs that the scheduler does not want. They take capacity until they
+    /// are gone, so the resources that their tasks need stay allocated until then.
     fn stop_unwanted_runs(&mut self, name: &WorkerId, mut unwanted: Vec<(TaskId, u32)>) {
         unwanted.sort_unstable();
         let mut allocations = Vec::new();
@@ -329,6 +339,7 @@
         let wait_ms = if many_workers { HOLD_WAIT_MS * 2 } else { HOLD_WAIT_MS };
         let mut due = Vec::new();
         for (name, worker) in &mut self.workers {
+            // A probe is a hold that is sent at once, even if another hold is pending.
             let probe = worker.held && std::mem::take(&mut worker.probe_due);
             let lost = worker.hold_sent_ms + HOLD_LOST_MS < now_ms;
             let pending = worker.hold_turn.is_some() && !lost;
@@ -384,7 +395,8 @@
             tracing::warn!(worker = %name, "lease of an unreachable worker expired");
             self.lose_tasks(&name);
             if let Some(worker) = self.workers.get_mut(&name) {
-                // Only a new hold rejects what the worker may still report from before.
+                // Nothing is started here until a hold is answered: only its report shows
+                // runs that the worker may still have from before, and these are stopped.
                 worker.held = false;
             }
         }
@@ -395,13 +407,14 @@
     }
 }
 
-/// The longest that a duration on a worker's clock may last on the local clock.
+/// Upper bound, on the local clock, of a duration that a worker measures with its own clock.
+/// The worker's clock may be slow, so the duration may take longer here.
 fn max_local_duration_ms(duration_ms: u64) -> u64 {
     duration_ms * 1_025 / 1_000
 }
 
-/// Whether the last answer is so old that a hold has to extend the lease soon, even if ends
-/// still wait for their rows.
+/// Whether the last answer is so old that a hold has to be sent to extend the lease. Until
+/// then no hold is sent while the worker has ended runs whose rows are not durable yet.
 fn is_hold_overdue(worker: &Worker, now_ms: u64) -> bool {
     worker.answered_ms + HOLD_WAIT_MS * 2 < now_ms
 }
@@ -423,8 +436,9 @@
     }
 }
 
-/// Whether the run of a task that its worker did not report in the answer to a hold sent in
-/// `hold_turn` certainly exists nowhere.
+/// Whether a task's run certainly exists nowhere, given that its worker did not list the run
+/// in the answer to a hold that was sent in `hold_turn`. If the run may have reached the
+/// worker after that hold was sent, its absence proves nothing.
 fn is_surely_gone(task: &Task, hold_turn: u64) -> bool {
     match task.phase {
         Phase::Adopted | Phase::Done => true,
--- a/crates/pool/src/job.rs
+++ b/crates/pool/src/job.rs
@@ -1,4 +1,8 @@
 //! The in-memory state of a job, its steps and their tasks.
+//!
+//! A task is placed (capacity on a worker is allocated for it), its start is recorded in the
+//! store, the start is sent, and the worker confirms the run. Each of these is one
+//! [`Phase`].
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -34,12 +38,13 @@
     Sent,
     /// Known to run.
     Running {
-        /// The turn in which this became known. A hold that was made in a later turn and
-        /// does not list the run proves that it is gone.
+        /// The turn in which this became known (see [`Pool`](crate::Pool)'s turn counter). If
+        /// a hold was sent in a later turn and its answer does not list the run, then the
+        /// run is gone.
         since_turn: u64,
     },
-    /// Must not run. A hold that was made in a later turn than the one in which the stop was
-    /// answered tells whether it still does.
+    /// Must not run, but may still do so. Once the stop is answered, a hold that is sent in a
+    /// later turn than that answer tells whether the run is gone.
     Stopping {
         /// The turn in which the stop was answered; `None` while it is not.
         answered_turn: Option<u64>,
@@ -65,23 +70,23 @@
     pub percent: u32,
     /// When [`Self::percent`] last changed or the newest run was recorded, sent or started.
     pub last_progress_ms: u64,
-    /// When the newest run was recorded; 0 if this leader has recorded none.
+    /// When the start of the newest run was recorded; 0 if this leader has recorded none.
     pub recorded_ms: u64,
-    /// When the newest run was first known to run; 0 before.
+    /// When the start of the newest run was first confirmed; 0 before.
     pub running_since_ms: u64,
     /// Whether a hold has listed the newest run, so that it is known which incarnation of the
     /// worker has it.
     pub listed_by_worker: bool,
-    /// The pace that was last sent to the worker, in percent; `None` if the run is at full pace
-    /// as far as is known.
+    /// The pace (speed limit) that was last sent to the worker, in percent of full speed;
+    /// `None` if the run is at full pace as far as is known.
     pub pace_percent: Option<u32>,
-    /// Whether another run of the task completed. The newest run is stopped then, and its
-    /// capacity stays allocated until it is gone.
+    /// For a speculative task, whether a run other than the newest one completed. The newest
+    /// run is stopped then, and its capacity stays allocated until it is gone.
     pub other_run_done: bool,
 }
 
 impl Task {
-    /// Whether the worker was told to run it at less than full pace.
+    /// Whether the worker was told to run the task at less than full pace.
     pub fn is_slowed(&self) -> bool {
         self.pace_percent.is_some_and(|percent| percent < FULL_PACE)
     }
@@ -92,7 +97,8 @@
     }
 }
 
-/// The advisor's permission to run a step on one incarnation of a worker.
+/// The advisor's proof, for a limited time, that a step may run on one incarnation of a
+/// worker. A worker refuses a start whose ticket is not valid.
 #[derive(Clone, Debug)]
 pub(crate) struct Ticket {
     pub text: String,
@@ -108,7 +114,8 @@
     }
 }
 
-/// The advisor's answers about a step.
+/// Which workers may run a step, as far as the advisor has answered, and the state of the
+/// queries about it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Advice {
     /// Workers that may run the step, with the newest ticket of each.
@@ -119,11 +126,12 @@
     pub queries: u32,
     /// The advisor is not queried again before this.
     pub pause_until_ms: u64,
-    /// The selection of further workers to query about is not repeated before this.
+    /// When further workers may be selected for a query. Until then no selection is made,
+    /// since each one examines all workers.
     pub retry_at_ms: u64,
 }
 
-/// One step of one occurrence of a job, with its own position in the queue.
+/// The state of one step of one occurrence of a job. Each has its own place in the queue.
 #[derive(Clone, Debug)]
 pub(crate) struct StepState {
     pub id: StepId,
@@ -135,25 +143,28 @@
     pub queued: bool,
     /// Placement is not tried again before this.
     pub retry_at_ms: u64,
-    /// Whether it is a gang that waits for its customer's cap.
+    /// Whether it is a gang that cannot start now because its customer would exceed its cap.
     pub blocked_by_cap: bool,
     /// For a gang, the workers that were last reserved for it.
     pub reserved: Vec<WorkerIndex>,
-    /// When these workers were chosen.
+    /// When the reserved workers were chosen.
     pub reserved_ms: u64,
-    /// When the last of the places on them is expected to come free.
+    /// When the reserved workers are expected to have free capacity for all tasks of the gang.
     pub reserved_until_ms: u64,
 }
 
-/// A job and the progress of its units.
+/// A job and the state of its steps.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub id: JobId,
     pub spec: Arc<JobSpec>,
     pub customer: Option<CustomerId>,
-    /// Whether its customer had used up what its weight allows when the job arrived.
+    /// Whether the customer submitted more jobs than its weight allows, counted when this job
+    /// arrived; see [`CustomerLimits::weight`](crate::CustomerLimits::weight).
     pub over_fair_share: bool,
     pub payload: Arc<str>,
+    /// The steps of the first occurrence, then those of the next one, and so on. A
+    /// `step_index` is an index into this list.
     pub step_states: Vec<StepState>,
     /// Whether the submission is durable.
     pub durable: bool,
@@ -164,7 +175,7 @@
     pub finished_unix_ms: u64,
     /// Whether a start of one of its tasks may have been sent.
     pub start_sent: bool,
-    /// Whether a worker has reported that it began one of its tasks.
+    /// Whether a worker has confirmed that it started one of its tasks.
     pub start_confirmed: bool,
 }
 
@@ -205,8 +216,8 @@
                 continue;
             };
             let Some(task) = step_state.tasks.get_mut(row.index as usize) else { continue };
-            // A row is written before its start is sent, so a run alone does not show that
-            // a worker began the task.
+            // A row is written before its start is sent, so the run's number alone does not
+            // show that a worker started the task.
             self.start_confirmed |= row.done || row.failures > 0 || !row.checkpoint.is_empty();
             task.run = row.run;
             task.failures = row.failures;
@@ -275,12 +286,12 @@
         }
     }
 
-    /// The specification of a unit's step.
+    /// The specification of a step.
     pub fn step_spec(&self, step_index: usize) -> &StepSpec {
         &self.spec.steps[self.step_states[step_index].id.step as usize]
     }
 
-    /// The resources that a task of a unit takes from its worker and its customer's cap.
+    /// The resources that a task of a step takes from its worker and its customer's cap.
     pub fn allocation(&self, step_index: usize) -> Allocation {
         let step = self.step_spec(step_index);
         Allocation {
@@ -290,7 +301,7 @@
         }
     }
 
-    /// The index of a step's unit; `None` if the job has no such step.
+    /// The index of a step in [`Self::step_states`]; `None` if the job has no such step.
     pub fn step_index(&self, id: StepId) -> Option<usize> {
         let step_index = id.occurrence as usize * self.spec.steps.len() + id.step as usize;
         let exists =
@@ -304,7 +315,7 @@
         self.step_states[step_index].tasks.get_mut(id.index as usize)
     }
 
-    /// Whether all steps that the unit depends on are done.
+    /// Whether all steps of the same occurrence that the step depends on are done.
     pub fn is_ready(&self, step_index: usize) -> bool {
         let first_step_index =
             self.step_states[step_index].id.occurrence as usize * self.spec.steps.len();
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -4,11 +4,26 @@
 //! event, [`Pool::poll_effects`] returns the actions to be carried out. The pool does no
 //! I/O and reads no clock, so tests can replay any sequence of failures in virtual time.
 //!
-//! Three rules keep a task from running twice. A start is durable before it is sent. A
-//! worker that has answered a hold under a fencing token carries out no call with a lower
-//! one. A run whose start was not answered is stopped, and is started elsewhere only
-//! after the stop was answered and a later hold does not list the run, or after the
-//! worker's lease has certainly expired.
+//! These words have a fixed meaning in this crate:
+//!
+//! - A *job* has steps, and a *step* has identical tasks. If the job is repeated, each
+//!   occurrence has its own copy of the steps. A "step" without further qualification is
+//!   one step of one occurrence.
+//! - A *run* is one attempt to execute a task on a worker. Runs of a task are numbered.
+//! - A *hold* is a long poll of a worker. It renews the lease under which the worker may
+//!   keep its runs, and returns the runs that the worker has.
+//! - The *advisor* is an external service. If a queue has one, it decides which workers may
+//!   run a step. A *ticket* proves that permission; a start needs a valid one.
+//! - The *pace* of a run is the limit on its speed, in percent of its full speed.
+//!
+//! Three rules keep a task from running twice:
+//!
+//! - A start is durable before it is sent.
+//! - Every call carries a fencing token. A worker that has answered a hold refuses all
+//!   calls whose token is lower than the one of that hold.
+//! - If a start was not answered, its run is stopped. The task is started elsewhere only
+//!   after the stop was answered and a later hold does not list the run, or after the
+//!   worker's lease has certainly expired.
 
 mod advise;
 mod choose;
@@ -118,8 +133,9 @@
 pub struct Election {
     /// Increases with every change of leader; the high bits of every fencing token.
     pub epoch: u64,
-    /// How long from now an earlier leader, which may not know of its successor yet,
-    /// may continue to extend the workers' leases.
+    /// How long from now an earlier leader may continue to extend the workers' leases,
+    /// because it may not have learned of its successor yet. A lease that it granted may
+    /// be valid for this time plus the length of a lease.
     pub earlier_extends_ms: u64,
 }
 
@@ -133,19 +149,20 @@
     now_ms: u64,
     unix_ms: u64,
     started_ms: u64,
-    /// Counts the calls of [`Pool::poll_effects`]. A call that is made in a later turn
-    /// than the one in which an answer was handled was made after that answer.
+    /// Counts the calls of [`Pool::poll_effects`], to tell the order of calls and
+    /// answers: if an answer was handled in some turn, then every call that is made in a
+    /// later turn was made after that answer.
     turn: u64,
     jobs: BTreeMap<JobId, Job>,
     /// Cancellations of jobs that are not known yet.
     early_cancels: BTreeSet<JobId>,
     customers: Customers,
     workers: BTreeMap<WorkerId, Worker>,
-    /// Names of workers, indexed by slot.
+    /// Names of workers, indexed by [`WorkerIndex`].
     worker_names: Vec<WorkerId>,
-    /// Units with tasks to place, by priority, weight, deadline and arrival.
+    /// Steps with tasks to place, by priority, fair share, deadline and arrival.
     queue: BTreeMap<QueueKey, StepId>,
-    /// Units of occurrences that are not due yet, by due time.
+    /// Steps of occurrences that are not due yet, by due time.
     not_due: BTreeSet<(u64, StepId)>,
     arrivals: u64,
     commits: Commits,
@@ -164,12 +181,12 @@
     next_cycle_ms: u64,
 }
 
-/// The sort key of a unit in the queue.
+/// The sort key of a step in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     priority: u32,
-    /// Within one priority, jobs beyond their customer's weight come after the jobs of
-    /// customers that are within theirs.
+    /// Whether the customer submitted more jobs than its weight allows. Within one
+    /// priority, such jobs come after all others.
     over_fair_share: bool,
     /// The time after which the job is late.
     deadline_unix_ms: u64,
@@ -182,8 +199,8 @@
 /// Minimum time between two scheduling cycles. Otherwise each of the hundreds of run ends
 /// and arrivals a second would cost a cycle over all workers.
 const CYCLE_INTERVAL_MS: u64 = 8;
-/// One millisecond is added to the interval for every this many workers, since the cost
-/// of a cycle grows with their number.
+/// Number of workers that adds one millisecond to the interval. The cost of a cycle grows
+/// with the number of workers.
 const WORKERS_PER_EXTRA_MS: usize = 200;
 
 impl Pool {
@@ -351,8 +368,8 @@
         Some(JobView { state: job.state(), customer })
     }
 
-    /// The number of unfinished jobs of a queue of which no worker has reported that a
-    /// task began.
+    /// The number of jobs in a queue that have not ended and that wait for their first run:
+    /// no worker has confirmed the start of any of their tasks.
     pub fn pending(&self, queue: &str) -> usize {
         let pending = |job: &&Job| {
             !job.start_confirmed && job.outcome.is_none() && job.spec.queue.name == queue
@@ -421,8 +438,8 @@
         self.cycle_due = true;
     }
 
-    /// Puts a unit into the queue if it has tasks to place and all steps that it depends
-    /// on are done. A unit that is not due yet is queued once it is due.
+    /// Puts a step into the queue if it has tasks to place and all steps that it depends
+    /// on are done. A step that is not due yet is queued once it is due.
     fn enqueue_if_ready(&mut self, id: JobId, step_index: usize) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.outcome.is_some() || job.step_states[step_index].queued || !job.is_ready(step_index)
--- a/crates/pool/src/pace.rs
+++ b/crates/pool/src/pace.rs
@@ -1,5 +1,8 @@
 //! Throttling of best-effort tasks in favor of latency-sensitive ones.
 //!
+//! The pace of a run is the limit on its speed, in percent of its full speed. (The speed
+//! that a worker actually reaches is measured in [`crate::speed`].)
+//!
 //! Best-effort tasks ([`StepSpec::fills`](crate::StepSpec::fills)) use processor time that
 //! others leave. They slow down tasks that serve users on the same worker, by an amount
 //! that no specification states; only the response times that the worker reports show it.
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -1,12 +1,13 @@
 //! Placement of waiting tasks on workers.
 //!
-//! Units are considered by priority, then by the time after which their job is
-//! late. Units that are late even if they start now come last, since serving them
+//! Steps are considered by priority, then by the time after which their job is
+//! late. Steps that are late even if they start now come last, since serving them
 //! first would only make others late too. A gang is placed whole or not at all.
 //! While a gang waits, some of the workers that may run it are reserved, or small
 //! tasks would take each bit of capacity as it comes free and the gang would never
 //! start. Work below the highest priority leaves capacity free for urgent work that
-//! is about to arrive: that work is done sooner than any task could be stopped for it.
+//! is about to arrive. Preemption would not help urgent work: it ends sooner than
+//! another task could be stopped to make room for it.
 
 use stoatwell_model::Resources;
 use stoatwell_model::WorkerId;
@@ -23,26 +24,26 @@
 use crate::spec::AdviceSpec;
 use crate::spec::StepSpec;
 
-/// Units considered in one scheduling cycle; the rest of the queue waits for a later one.
-const UNITS_PER_CYCLE: usize = 1_000;
+/// Steps considered in one scheduling cycle; the rest of the queue waits for a later one.
+const STEPS_PER_CYCLE: usize = 1_000;
 /// Percentage of the workers that may be reserved for waiting gangs. The first gang
-/// reserves all that it needs: one wider than this share would never start.
+/// reserves all that it needs: a gang that needs more than this share would never start.
 const RESERVED_PERCENT: usize = 35;
-/// Backoff of a unit that could not be placed. Each attempt goes through all workers that
-/// the unit may use, and hundreds of units may wait.
+/// Backoff of a step that could not be placed. Each attempt goes through all workers that
+/// the step may use, and hundreds of steps may wait.
 const RETRY_BACKOFF_MS: u64 = 40;
 /// The same for urgent work, which has little time.
 const URGENT_RETRY_BACKOFF_MS: u64 = 15;
 /// Number of workers that add a millisecond to the backoff of a gang.
 const GANG_BACKOFF_WORKERS_PER_MS: usize = 10;
-/// Number of queued units that lengthen each backoff by its own base value, so that
+/// Number of queued steps that lengthen each backoff by its own base value, so that
 /// a backlog does not keep the scheduler too busy to work it off.
-const BACKOFF_QUEUE_UNITS: usize = 150;
-/// Assumed duration of a task, in percent of the expected one, where the task must end
-/// before a gang can start: estimates are off by half.
+const BACKOFF_QUEUE_STEPS: usize = 150;
+/// Factor, in percent, for the expected duration of a task that may use reserved capacity
+/// only if it ends before the gang can start. Estimates are off by half.
 const ASSUMED_DURATION_PERCENT: u64 = 130;
 
-/// The result of an attempt to place a unit.
+/// The result of an attempt to place a step.
 enum Attempt {
     /// All its tasks are on a worker; some may wait for a ticket.
     Placed,
@@ -65,7 +66,7 @@
         };
         let mut reserved = 0;
         let mut infeasible_demands: Vec<(usize, Resources)> = Vec::new();
-        for (key, step) in self.ordered_units() {
+        for (key, step) in self.ordered_steps() {
             let Some(job) = self.jobs.get(&step.job) else {
                 self.queue.remove(&key);
                 continue;
@@ -100,7 +101,7 @@
                 }
                 continue;
             }
-            let attempt = self.place_unit(step, step_index, key, &mut cycle);
+            let attempt = self.place_step(step, step_index, key, &mut cycle);
             self.set_blocked_by_cap(step, step_index, gang && matches!(attempt, Attempt::Capped));
             match attempt {
                 Attempt::Placed => self.dequeue(key, step),
@@ -132,9 +133,9 @@
         }
     }
 
-    /// Delays the next attempt to place a unit.
+    /// Delays the next attempt to place a step.
     fn back_off(&mut self, step: StepId, step_index: usize, base_ms: u64) {
-        let backlog_ms = base_ms * (self.queue.len() / BACKOFF_QUEUE_UNITS) as u64;
+        let backlog_ms = base_ms * (self.queue.len() / BACKOFF_QUEUE_STEPS) as u64;
         let next_ms = self.now_ms + base_ms + backlog_ms;
         if let Some(job) = self.jobs.get_mut(&step.job) {
             job.step_states[step_index].retry_at_ms = next_ms;
@@ -147,12 +148,12 @@
         RETRY_BACKOFF_MS + (self.workers.len() / GANG_BACKOFF_WORKERS_PER_MS) as u64
     }
 
-    /// The front of the queue without units in backoff; units that will be late in any
+    /// The front of the queue without steps in backoff; steps that will be late in any
     /// case are moved to the end.
-    fn ordered_units(&self) -> Vec<(QueueKey, StepId)> {
+    fn ordered_steps(&self) -> Vec<(QueueKey, StepId)> {
         let mut in_time = Vec::new();
         let mut late = Vec::new();
-        for (key, step) in self.queue.iter().take(UNITS_PER_CYCLE) {
+        for (key, step) in self.queue.iter().take(STEPS_PER_CYCLE) {
             if self.is_in_backoff(*step) {
                 continue;
             }
@@ -166,7 +167,7 @@
         in_time
     }
 
-    /// Whether a cycle can skip a unit because of its backoff. Waiting gangs are not
+    /// Whether a cycle can skip a step because of its backoff. Waiting gangs are not
     /// skipped while workers, or a part of a cap, are reserved for them.
     fn is_in_backoff(&self, step: StepId) -> bool {
         let Some(job) = self.jobs.get(&step.job) else { return false };
@@ -177,21 +178,21 @@
             && !step_state.blocked_by_cap
     }
 
-    /// How long a task of the unit is expected to run.
+    /// How long a task of the step is expected to run.
     pub(crate) fn expected_task_ms(&self, step: StepId) -> u64 {
         let Some(job) = self.jobs.get(&step.job) else { return 0 };
         let estimate_ms = job.spec.steps[step.step as usize].estimate_ms;
         self.estimates.expected_ms(&job.spec.queue.name, estimate_ms)
     }
 
-    /// How long the unit could still wait without making its job late; negative if the job
-    /// will be late even if the unit starts now.
+    /// How long the step could still wait without making its job late; negative if the job
+    /// will be late even if the step starts now.
     pub(crate) fn slack_ms(&self, key: QueueKey, step: StepId) -> i64 {
         let Some(job) = self.jobs.get(&step.job) else { return 0 };
         let estimate_ms = job.spec.steps[step.step as usize].estimate_ms as f64;
         let expected_ms = self.expected_task_ms(step) as f64;
-        // The due time was derived from the submitted estimate; it is moved by the slack
-        // factor times the difference from the duration that is expected now.
+        // The deadline was derived from the submitted estimate. It moves by the slack factor
+        // times the difference between the duration that is expected now and that estimate.
         let correction_ms = job.spec.queue.slack_factor * (expected_ms - estimate_ms);
         (key.deadline_unix_ms as f64 + correction_ms - self.unix_ms as f64 - expected_ms) as i64
     }
@@ -203,7 +204,7 @@
         job.step_states[step_index].queued = false;
     }
 
-    fn place_unit(
+    fn place_step(
         &mut self,
         step: StepId,
         step_index: usize,
--- a/crates/pool/src/record.rs
+++ b/crates/pool/src/record.rs
@@ -71,7 +71,8 @@
 /// The durable state of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TaskProgress {
-    /// The index of the task's step among the steps of all occurrences.
+    /// The index of the task's step in the list of the steps of the first occurrence, then
+    /// those of the next one, and so on.
     pub step_index: u32,
     /// The index of the task in its step.
     pub index: u32,
@@ -108,7 +109,7 @@
     tasks: Vec<CompactTask>,
 }
 
-/// Unit, index, run, failures, newest failed run, place, checkpoint.
+/// Index of the step, index of the task, run, failures, newest failed run, place, checkpoint.
 type CompactTask = (u32, u32, u32, u32, u32, Place, String);
 
 /// The index of the task's worker in the list, [`NOWHERE`] or [`DONE`].
--- a/crates/pool/src/reserve.rs
+++ b/crates/pool/src/reserve.rs
@@ -1,14 +1,15 @@
 //! Reservation of workers for waiting gangs.
 //!
 //! A gang needs capacity for all its tasks at one moment, and smaller work would take each
-//! bit of capacity as it comes free. So workers are reserved, which excludes work of the
-//! same and of lower priority: those workers where, by the remaining time of their tasks,
-//! enough capacity comes free first. Reserving whole workers until they are empty would
-//! leave several times as much capacity idle, and the gang would wait for the longest task
-//! on them. Until capacity for the last task is free, the reserved workers still accept
-//! work that ends by then.
+//! bit of capacity as it comes free. So workers are reserved for the gang: work of the same
+//! or of lower priority may not use them. Until capacity for the last task of the gang is
+//! free, they still accept work that ends by then.
 //!
-//! A place is free capacity for one task of the gang.
+//! A place is capacity on a worker for one task of the gang. The remaining time of the tasks
+//! on a worker tells when each of its places comes free. The reserved workers are those with
+//! the places that come free first. If whole workers were reserved until they are empty,
+//! several times as much capacity would be idle, and the gang would wait for the longest
+//! task on them.
 
 use stoatwell_model::Resources;
 
@@ -21,8 +22,9 @@
 use crate::id::TaskId;
 use crate::worker::WorkerIndex;
 
-/// Percentage of the places on empty eligible workers below which a gang needs no
-/// reservation: it finds that many places free at one moment soon enough.
+/// Size of a gang below which it needs no reservation, in percent of the places that the
+/// eligible workers have when they are empty. Fewer places than that come free at one moment
+/// soon enough anyway.
 const RESERVATION_MIN_PERCENT: u64 = 30;
 /// How long a choice of workers is kept. Choosing anew goes through all tasks on all
 /// workers that the gang may use.
@@ -53,7 +55,7 @@
         let spec = job.step_spec(step_index);
         let demand = spec.worker_demand();
         let tasks = job.step_states[step_index].tasks.len();
-        // For each place, in how long it comes free and the index of its worker.
+        // For each place, the time until it is free and the index of its worker.
         let mut places: Vec<(u64, usize)> = Vec::new();
         let eligible = self.eligible_workers(step, step_index, spec, cycle);
         let places_when_empty =
@@ -93,7 +95,7 @@
         reserved
     }
 
-    /// Reserves the workers for a waiting gang that were last chosen for it, at most
+    /// Reserves again the workers that were last chosen for a waiting gang, at most
     /// `workers_max`. Returns how many.
     pub(crate) fn renew_reservation(
         &self,
@@ -124,8 +126,8 @@
         }
     }
 
-    /// In how long each place on a worker comes free if no further tasks go there; 0 for
-    /// those that are free now.
+    /// The time until each place on a worker is free if no further tasks are placed there; 0
+    /// for places that are free now.
     fn place_wait_times_ms(&self, worker_index: WorkerIndex, demand: &Resources) -> Vec<u64> {
         let Some(worker) = self.worker_at(worker_index) else { return Vec::new() };
         let mut ends: Vec<(u64, &Resources)> = worker
--- a/crates/pool/src/runs.rs
+++ b/crates/pool/src/runs.rs
@@ -1,4 +1,9 @@
-//! The life cycle of a run, from its recorded start to its end.
+//! The life cycle of a run: its start is recorded in the store, sent to the worker, and
+//! confirmed by the worker's answer or by the answer to a hold; then the run ends or is
+//! stopped.
+//!
+//! A speculative task may have several runs at the same time, of which the first one that
+//! succeeds counts. The scheduler itself tracks only the newest run of a task.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -25,7 +30,7 @@
 /// The time that a start needs to reach its worker.
 const START_LATENCY_MS: u64 = 15;
 /// How long a worker gets no new tasks after it refused a start because it had no capacity
-/// or was unwell.
+/// or answered [`StartReply::Unwell`]: it is overloaded or unavailable.
 const REFUSED_START_PAUSE_MS: u64 = 500;
 
 impl Pool {
@@ -131,15 +136,17 @@
         }
     }
 
-    /// Records that a worker has begun a task of the job.
+    /// Records that a worker has confirmed the start of a task of the job.
     pub(crate) fn mark_start_confirmed(&mut self, id: TaskId) {
         if let Some(job) = self.jobs.get_mut(&id.step.job) {
             job.start_confirmed = true;
         }
     }
 
-    /// Queues a task again whose run certainly did not begin. Other members of its gang that
-    /// did begin would wait for it in vain, so the whole gang is stopped and placed again.
+    /// Queues a task again after a start that certainly created no run.
+    ///
+    /// The other members of a gang cannot work without the task. They may run already, so
+    /// they are stopped, and the whole gang is placed again.
     pub(crate) fn requeue_unstarted(&mut self, id: TaskId) {
         self.release(id);
         self.stop_other_members(id);
@@ -225,7 +232,8 @@
             return;
         }
         if task.phase == Phase::Done {
-            // The member of a gang that was marked done when another member completed.
+            // The task belongs to a gang and was marked done when another member completed.
+            // Its own run has ended only now, so its capacity is free only now.
             self.release(id);
             return;
         }
@@ -282,7 +290,7 @@
             task.phase = Phase::Done;
             job.step_states[step_index].remaining_tasks -= 1;
         }
-        self.on_unit_progress(id, step_index);
+        self.on_step_progress(id, step_index);
     }
 
     /// Handles the completion of an earlier run of a speculative task. The newest run may
@@ -301,12 +309,12 @@
         }
         job.step_states[step_index].remaining_tasks -= 1;
         self.stop(id);
-        self.on_unit_progress(id, step_index);
+        self.on_step_progress(id, step_index);
     }
 
-    /// After a task of the unit is done: ends the job or queues the steps that waited for
-    /// the unit, if it was the unit's last task.
-    fn on_unit_progress(&mut self, id: TaskId, step_index: usize) {
+    /// Handles the completion of a task. If it was the last one of its step, the job ends,
+    /// or the steps that depend on this step are queued.
+    fn on_step_progress(&mut self, id: TaskId, step_index: usize) {
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
         if job.step_states[step_index].remaining_tasks > 0 {
             return;
@@ -346,7 +354,7 @@
         self.requeue(id);
     }
 
-    /// Stops the other members of a gang after one of them ended or did not begin.
+    /// Stops the other members of a gang after a run of one of them ended or did not start.
     pub(crate) fn stop_other_members(&mut self, id: TaskId) {
         let Some(job) = self.jobs.get(&id.step.job) else { return };
         let Some(step_index) = job.step_index(id.step) else { return };
@@ -374,7 +382,7 @@
         self.cycle_due = true;
     }
 
-    /// Puts a task's unit back into the queue if it has tasks to place.
+    /// Puts a task's step back into the queue if it has tasks to place.
     pub(crate) fn requeue(&mut self, id: TaskId) {
         let Some(job) = self.jobs.get(&id.step.job) else { return };
         let Some(step_index) = job.step_index(id.step) else { return };
--- a/crates/pool/src/submit.rs
+++ b/crates/pool/src/submit.rs
@@ -1,7 +1,7 @@
 //! Submissions that are not durable yet.
 //!
 //! The tasks of a submission are placed while the submission is made durable. So its first
-//! start needs no write of its own and the job begins one write earlier. Nothing is sent to
+//! start needs no write of its own and the job starts one write earlier. Nothing is sent to
 //! a worker before the submission is durable; until then it can be withdrawn without a trace.
 
 use std::sync::Arc;
--- a/crates/pool/src/wakeup.rs
+++ b/crates/pool/src/wakeup.rs
@@ -1,6 +1,6 @@
 //! Detection of unfinished tasks that no pending event will advance.
 //!
-//! A task advances when a cycle finds its unit in the queue, when an answer arrives, or
+//! A task advances when a cycle finds its step in the queue, when an answer arrives, or
 //! when its row becomes durable. A task that waits for something that never happens keeps
 //! its allocation and its job pending for ever, even with all workers free, and no other
 //! check would notice.
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -26,7 +26,7 @@
 /// times this value.
 const QUARANTINE_MS: u64 = 2_500;
 
-/// The index of a worker in its pool; never reused for another worker.
+/// A dense index of the workers of a pool; never reused for another worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct WorkerIndex(pub usize);
 
@@ -49,13 +49,15 @@
     /// Counts the restarts seen. It is part of the fencing token, so that requests meant for
     /// an earlier incarnation are refused.
     pub incarnations: u64,
-    /// Whether a hold under the current token has been answered.
+    /// Whether the worker has answered a hold under the current token, so that it refuses
+    /// calls with a lower one. Nothing is started on a worker before that.
     pub held: bool,
     /// The turn in which the pending hold was sent; `None` if none is pending.
     pub hold_turn: Option<u64>,
     pub hold_sent_ms: u64,
     pub next_hold_ms: u64,
-    /// Whether to send a hold without wait, to learn whether a stopped run is gone.
+    /// Whether to send a probe: a hold that is sent and answered without delay, to learn
+    /// whether a stopped run is gone.
     pub probe_due: bool,
     /// The turn in which the current incarnation was discovered; 0 for the first one.
     pub incarnation_turn: u64,
@@ -73,7 +75,7 @@
     pub non_durable_ends: BTreeSet<u64>,
     /// Tasks placed on this worker.
     pub tasks: BTreeMap<TaskId, Allocation>,
-    /// Allocations of runs that the worker reported and the scheduler does not want.
+    /// The resources of runs that the worker reported and the scheduler does not want.
     pub unwanted_allocations: Vec<Allocation>,
     pub used: Resources,
     /// What the runs of each customer count towards its cap.
@@ -89,10 +91,12 @@
     pub answered_ms: u64,
     /// Consecutive calls without an answer.
     pub unanswered_calls: u32,
-    /// The pace of the best-effort tasks on this worker, in percent.
+    /// The pace (speed limit) of the best-effort tasks on this worker, in percent of their
+    /// full speed.
     pub pace_percent: u32,
     pub pace_changed_ms: u64,
-    /// Whether another worker or incarnation answered the latest call to its address.
+    /// Whether another worker or incarnation answered the latest call to its address, so that
+    /// all runs of this incarnation are lost.
     pub lost: bool,
     /// Whether the latest connection attempt was refused. That says nothing about the runs
     /// on the worker: a firewall refuses connections just like a host without the process.
@@ -165,7 +169,8 @@
         self.is_reachable(now_ms) && self.quarantine_until_ms <= now_ms
     }
 
-    /// Whether the worker would be open but for a quarantine after failed runs.
+    /// Whether the worker may get no new tasks for the only reason that it is in quarantine
+    /// and a run has failed or stalled here.
     pub fn is_quarantined_for_failures(&self, now_ms: u64) -> bool {
         self.is_reachable(now_ms) && self.quarantine_until_ms > now_ms && self.has_recent_failures()
     }
@@ -246,7 +251,7 @@
         self.info.labels.get(1..)?.last().map(String::as_str)
     }
 
-    /// Records a successful run, which ends the suspicion against the worker.
+    /// Records a successful run: the worker is no longer avoided for earlier failures.
     pub fn record_success(&mut self) {
         self.failures = 0;
         self.quarantines = 0;
