--- a/crates/pool/src/advise.rs
+++ b/crates/pool/src/advise.rs
@@ -4,10 +4,10 @@
 //! worker starts a task only with a valid ticket. A ticket is the advisor's proof that the
 //! step may run on that worker, and is valid for a limited time.
 //!
-//! The set of granted workers does not change over time; only the tickets expire. A step therefore queries enough workers
-//! once and keeps the result. Just before a start it queries the few chosen
-//! workers again if a ticket of theirs is too old. The tasks keep their
-//! allocations on these workers until the answer arrives.
+//! The set of granted workers does not change over time; only the tickets expire. A
+//! step therefore queries about enough workers once and keeps the result. Just before a
+//! start it queries about the few chosen workers again if a ticket of theirs is too old.
+//! The tasks keep their allocations on these workers until the answer arrives.
 
 use stoatwell_model::WorkerId;
 
@@ -40,11 +40,11 @@
 /// Minimum number of daemons reserved for short queries, but never more than half of
 /// the daemons.
 const SHORT_ONLY_MIN: usize = 8;
-/// Lower bound of the limit on concurrent queries of one gang, also when no further
-/// long query is free. One after another they would take most of a second each, and
-/// other work would take the capacity meanwhile.
+/// Lower bound of the limit on concurrent queries of one gang. It applies even if no more
+/// long queries may be sent. Sent one after another, the queries of a gang would take most
+/// of a second each, and other work would take the capacity meanwhile.
 const GANG_QUERIES_MIN: usize = 2;
-/// A gang may use one in this many of the long queries that are still free.
+/// A gang may send one in this many of the long queries that may still be sent.
 const GANG_QUERIES_DIVISOR: usize = 4;
 /// A step has enough granted workers when their total capacity fits this many times
 /// its tasks.
@@ -137,14 +137,14 @@
             Some(granted) => {
                 tracing::debug!(%step, asked = queried.len(), granted = granted.len(), "advisor answered");
                 let worker_index =
-                    |name: &WorkerId| self.workers.get(name).map(|worker| worker.worker_index);
+                    |name: &WorkerId| self.workers.get(name).map(|worker| worker.index);
                 advice.queried.extend(queried.iter().filter_map(worker_index));
                 for grant in granted {
                     let Some(worker) = self.workers.get(&grant.worker) else { continue };
                     let expires_ms = received_ms.min(now_ms) + rule.valid_ms;
                     let incarnation = worker.info.incarnation;
                     let ticket = Ticket { text: grant.ticket, incarnation, expires_ms };
-                    advice.granted.insert(worker.worker_index, ticket);
+                    advice.granted.insert(worker.index, ticket);
                 }
             }
         }
@@ -189,8 +189,7 @@
         let Some(job) = self.jobs.get(&step.job) else { return false };
         let Some(step_index) = job.step_index(step) else { return false };
         let Some(worker) = self.workers.get(name) else { return false };
-        let Some(ticket) = job.step_states[step_index].advice.granted.get(&worker.worker_index)
-        else {
+        let Some(ticket) = job.step_states[step_index].advice.granted.get(&worker.index) else {
             return false;
         };
         ticket.is_fresh(
@@ -203,8 +202,8 @@
     ///
     /// The start waits for the batch that is being written and for its own batch. When
     /// the store takes half a second for each, tickets that are valid now have expired
-    /// by then, and the refused starts would keep the store busy for as long as it is
-    /// slow.
+    /// by then. Their starts would be refused and recorded again, which would keep the
+    /// store busy for as long as it is slow.
     pub(crate) fn start_arrival_ms(&self, job: JobId, advice: Option<AdviceSpec>) -> u64 {
         let valid_ms = advice.map_or(0, |rule| rule.valid_ms);
         let writes_ms = self.commits.expected_batch_ms(job, self.now_ms) * 2;
@@ -218,9 +217,7 @@
         let Some(worker) = self.workers.get(name) else { return };
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
         let Some(step_index) = job.step_index(id.step) else { return };
-        if let Some(ticket) =
-            job.step_states[step_index].advice.granted.get_mut(&worker.worker_index)
-        {
+        if let Some(ticket) = job.step_states[step_index].advice.granted.get_mut(&worker.index) {
             ticket.expires_ms = 0;
         }
     }
--- a/crates/pool/src/choose.rs
+++ b/crates/pool/src/candidates.rs
@@ -222,9 +222,9 @@
             });
             let sum = &mut cycle.services[service].free;
             *sum = sum.plus(&free);
-            cycle.view_indices[worker.worker_index.0] = Some(cycle.workers.len() as u32);
+            cycle.view_indices[worker.index.0] = Some(cycle.workers.len() as u32);
             cycle.workers.push(WorkerView {
-                worker_index: worker.worker_index,
+                worker_index: worker.index,
                 service,
                 incarnation: worker.info.incarnation,
                 has_recent_failures: worker.has_recent_failures(),
@@ -373,7 +373,7 @@
             let Some(worker) = task.worker.as_ref().and_then(|name| self.workers.get(name)) else {
                 continue;
             };
-            *counts.entry(worker.worker_index).or_default() += 1;
+            *counts.entry(worker.index).or_default() += 1;
         }
         counts
     }
--- a/crates/pool/src/customers.rs
+++ b/crates/pool/src/customers.rs
@@ -14,7 +14,7 @@
 use stoatwell_model::Resources;
 
 use crate::Pool;
-use crate::choose::Cycle;
+use crate::candidates::Cycle;
 use crate::id::StepId;
 
 /// Size of a customer's token bucket for arriving jobs, in seconds of its weight.
--- a/crates/pool/src/dump.rs
+++ b/crates/pool/src/dump.rs
@@ -34,7 +34,7 @@
 pub struct CustomerDump {
     /// The name that the manifest or a job gives the customer.
     pub customer: CustomerName,
-    /// The customer's share of a full pool.
+    /// The customer's weight; see [`CustomerLimits::weight`].
     pub weight: f64,
     /// The resources that its tasks take on all workers.
     pub used: Resources,
--- a/crates/pool/src/event.rs
+++ b/crates/pool/src/event.rs
@@ -131,7 +131,7 @@
     },
 }
 
-/// A worker's entry in the worker list.
+/// A worker's entry in the list of workers, from which the scheduler learns of workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerUpdate {
     /// The worker's name.
@@ -234,7 +234,7 @@
     Alone,
 }
 
-/// A worker's answer to a start.
+/// A worker's answer to a start. [`Self::Unwell`] means that it is overloaded or unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, displaydoc::Display)]
 pub enum StartReply {
     /// started
@@ -255,7 +255,8 @@
     Rejected,
 }
 
-/// Why a call to a worker has no usable answer.
+/// Why a call to a worker has no usable answer. [`Self::Unwell`] means that the worker is
+/// overloaded or unavailable; a life ([`Self::OtherLife`]) is an incarnation of the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, displaydoc::Display)]
 pub enum CallError {
     /// the connection was refused, so nothing was sent; the worker may run on behind a firewall
--- a/crates/pool/src/job.rs
+++ b/crates/pool/src/job.rs
@@ -25,7 +25,8 @@
 use crate::worker::Worker;
 use crate::worker::WorkerIndex;
 
-/// The phase of a task's newest run.
+/// The phase of a task's newest run. [`Pool::explain`](crate::Pool::explain) prints its
+/// `Debug` form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// Not placed on any worker.
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -26,7 +26,7 @@
 //!   worker's lease has certainly expired.
 
 mod advise;
-mod choose;
+mod candidates;
 mod commit;
 mod customers;
 mod dump;
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -6,18 +6,18 @@
 //! While a gang waits, some of the workers that may run it are reserved, or small
 //! tasks would take each bit of capacity as it comes free and the gang would never
 //! start. Work below the highest priority leaves capacity free for urgent work that
-//! is about to arrive. Preemption would not help urgent work: it ends sooner than
-//! another task could be stopped to make room for it.
+//! is about to arrive. Preemption would not help: urgent work ends sooner than any
+//! task could be stopped to make room for it.
 
 use stoatwell_model::Resources;
 use stoatwell_model::WorkerId;
 
 use crate::Pool;
 use crate::QueueKey;
-use crate::choose::Cycle;
-use crate::choose::EligibleWorker;
-use crate::choose::PlacementRequest;
-use crate::choose::WorkerView;
+use crate::candidates::Cycle;
+use crate::candidates::EligibleWorker;
+use crate::candidates::PlacementRequest;
+use crate::candidates::WorkerView;
 use crate::id::StepId;
 use crate::id::TaskId;
 use crate::job::Phase;
@@ -257,7 +257,7 @@
         if !chosen.is_empty() && may_start && may_query {
             for (task_index, view_index) in &chosen {
                 let name = self.worker_names[cycle.workers[*view_index].worker_index.0].clone();
-                self.reserve(TaskId { step, index: *task_index }, &name);
+                self.allocate_task(TaskId { step, index: *task_index }, &name);
             }
             if let Some(customer) = customer {
                 let used = &mut cycle.customers[customer.0];
@@ -344,7 +344,7 @@
     }
 
     /// Allocates a worker's capacity for a task that may still need a ticket.
-    fn reserve(&mut self, id: TaskId, name: &WorkerId) {
+    fn allocate_task(&mut self, id: TaskId, name: &WorkerId) {
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
         let Some(step_index) = job.step_index(id.step) else { return };
         let allocation = job.allocation(step_index);
--- a/crates/pool/src/request.rs
+++ b/crates/pool/src/request.rs
@@ -7,9 +7,9 @@
 
 use crate::Pool;
 use crate::advise::SUFFICIENT_PLACES_FACTOR;
-use crate::choose::Cycle;
-use crate::choose::WorkerView;
-use crate::choose::places_in;
+use crate::candidates::Cycle;
+use crate::candidates::WorkerView;
+use crate::candidates::places_in;
 use crate::id::StepId;
 use crate::spec::AdviceSpec;
 use crate::spec::StepSpec;
@@ -21,15 +21,15 @@
 /// The selection of further workers for a step is repeated after this. It examines every
 /// worker for each waiting step.
 const SELECTION_INTERVAL_MS: u64 = 150;
-/// Ratio of the free places that a gang's queries are expected to grant to the places that
-/// it still needs: which workers are granted varies, and some of the free capacity is
-/// allocated before the answer arrives.
+/// A gang queries about so many workers that the free places that are expected to be granted
+/// are this many times the places that it still needs. Which workers are granted varies, and
+/// some of the free capacity is allocated before the answer arrives.
 const FREE_FACTOR: f64 = 4.0;
 
 impl Pool {
     /// Requests new tickets for all workers that were granted to a step, if one of them has
-    /// free capacity. Returns whether the step has to wait for tickets rather than query about
-    /// further workers.
+    /// free capacity. Returns whether the step has to wait for the answer; if not, it may
+    /// query about further workers.
     ///
     /// The advisor takes nearly as long for one worker as for all of them, and with valid
     /// tickets any capacity that becomes free is used at once. Requesting a ticket only once
@@ -65,11 +65,13 @@
     /// Queries the advisor about open workers that it was not queried about yet, those with
     /// the most free places first.
     ///
-    /// A gang names as many workers as it takes to be granted places for all of its tasks
-    /// at once, as far as places are free now: the few workers that would be enough in an
-    /// empty pool have no free capacity in a busy one. It queries again while other workers
-    /// have such capacity. A step of independent tasks queries again only if several workers
-    /// have some, since each query costs the advisor's decision time, however few workers it
+    /// A gang needs free places for all of its tasks at once, so its queries name as many
+    /// workers as are expected to grant these. Only places that are free now count: the few
+    /// workers that would be enough in an empty pool have no free capacity in a busy one. A
+    /// gang queries again while workers that it has not queried about have free capacity.
+    ///
+    /// A step of independent tasks queries again only if several such workers have free
+    /// capacity, since each query costs the advisor's decision time, however few workers it
     /// names.
     pub(crate) fn query_more_workers(
         &mut self,
--- a/crates/pool/src/reserve.rs
+++ b/crates/pool/src/reserve.rs
@@ -14,10 +14,10 @@
 use stoatwell_model::Resources;
 
 use crate::Pool;
-use crate::choose::Cycle;
-use crate::choose::EligibleWorker;
-use crate::choose::Reservation;
-use crate::choose::places_in;
+use crate::candidates::Cycle;
+use crate::candidates::EligibleWorker;
+use crate::candidates::Reservation;
+use crate::candidates::places_in;
 use crate::id::StepId;
 use crate::id::TaskId;
 use crate::worker::WorkerIndex;
--- a/crates/pool/src/runs.rs
+++ b/crates/pool/src/runs.rs
@@ -55,7 +55,7 @@
             self.requeue_unstarted(id);
             return;
         };
-        let ticket = step_state.advice.granted.get(&worker.worker_index).filter(|_| needs_ticket);
+        let ticket = step_state.advice.granted.get(&worker.index).filter(|_| needs_ticket);
         if ticket.is_some_and(|ticket| {
             !ticket.is_fresh(worker.info.incarnation, now_ms + START_LATENCY_MS)
         }) {
@@ -433,6 +433,6 @@
     Some(Callee {
         worker: name.clone(),
         address: worker.info.address.clone(),
-        token: (epoch << INCARNATION_BITS) + worker.incarnations,
+        token: (epoch << INCARNATION_BITS) + worker.restarts_seen,
     })
 }
--- a/crates/pool/src/spec.rs
+++ b/crates/pool/src/spec.rs
@@ -54,6 +54,9 @@
 }
 
 /// The expected cost of queries to a queue's advisor, and the validity of its tickets.
+///
+/// The advisor decides which workers may run a step. Its decision is binding: a worker
+/// refuses a start without a valid ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdviceSpec {
     /// Fixed time of a query.
@@ -100,7 +103,7 @@
     /// The rack that holds the input data; workers there are preferred.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub near_rack: Option<String>,
-    /// The largest number of tasks of the step on one worker; 0 means no limit.
+    /// How many tasks of the step one worker may have at most; 0 means no limit.
     #[serde(skip_serializing_if = "is_zero")]
     pub per_worker_max: u32,
     /// Whether several runs of a task may exist at the same time, and the first one that
@@ -120,7 +123,7 @@
     /// The image that the tasks run; tasks of the same image behave alike.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub image: Option<String>,
-    /// For tasks that serve users, the response time that these expect.
+    /// For tasks that serve users, the response time that the users expect.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub response_target_ms: Option<u64>,
     /// How many tasks may be down at the same time because of the scheduler.
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -1,4 +1,7 @@
 //! The scheduler's view of one worker: its capacity, lease and reported runs.
+//!
+//! An incarnation of a worker is one start of its process. A worker that has restarted has
+//! lost all runs of its earlier incarnations.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,8 +17,8 @@
 /// Margin before a lease counts as expired, for the time that the worker takes to kill its
 /// runs.
 const LEASE_EXPIRY_MARGIN_MS: u64 = 300;
-/// Age of the last answer above which a worker gets no new tasks. Two holds with their full
-/// wait fit into it.
+/// Age of the last answer above which a worker gets no new tasks. Two holds that both wait
+/// as long as they may fit into it.
 const ANSWER_AGE_MAX_MS: u64 = 2_500;
 /// Consecutive failed runs after which a worker is put into quarantine. One run in twenty
 /// fails through its own fault, so two in a row are probably the worker's fault.
@@ -43,12 +46,13 @@
 /// A worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
-    pub worker_index: WorkerIndex,
+    pub index: WorkerIndex,
     pub info: WorkerUpdate,
+    /// Whether the list of workers has an entry for the worker.
     pub listed: bool,
     /// Counts the restarts seen. It is part of the fencing token, so that requests meant for
     /// an earlier incarnation are refused.
-    pub incarnations: u64,
+    pub restarts_seen: u64,
     /// Whether the worker has answered a hold under the current token, so that it refuses
     /// calls with a lower one. Nothing is started on a worker before that.
     pub held: bool,
@@ -104,16 +108,12 @@
 }
 
 impl Worker {
-    pub fn new(
-        worker_index: WorkerIndex,
-        update: WorkerUpdate,
-        earlier_lease_expiry_ms: u64,
-    ) -> Self {
+    pub fn new(index: WorkerIndex, update: WorkerUpdate, earlier_lease_expiry_ms: u64) -> Self {
         Self {
-            worker_index,
+            index,
             info: update,
             listed: true,
-            incarnations: 0,
+            restarts_seen: 0,
             held: false,
             hold_turn: None,
             hold_sent_ms: 0,
@@ -148,7 +148,7 @@
         self.incarnation_turn = turn;
         self.earlier_lease_expiry_ms = earlier_lease_expiry_ms;
         self.info.incarnation = incarnation;
-        self.incarnations += 1;
+        self.restarts_seen += 1;
         self.lost = false;
         self.held = false;
         self.hold_turn = None;
