--- a/crates/pool/src/candidates.rs
+++ b/crates/pool/src/candidates.rs
@@ -91,7 +91,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EligibleWorker {
     /// The index in [`Cycle::workers`].
-    pub index: usize,
+    pub view_index: usize,
     /// Whether the advisor need not be queried before a start: the queue has no advisor, or
     /// the step has a ticket for this worker that will still be valid when a start arrives.
     pub needs_no_new_ticket: bool,
@@ -101,7 +101,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
     /// The index in [`Cycle::workers`].
-    index: usize,
+    view_index: usize,
     /// Penalty that is added to the share of capacity left free; see [`Cycle::score`].
     penalty: f64,
     /// Tasks of the step on this worker. Only counted if the step limits them.
@@ -134,26 +134,31 @@
 
     /// The index of a worker in `workers`; `None` if it takes no tasks in this cycle.
     pub fn view_index_of(&self, worker_index: WorkerIndex) -> Option<usize> {
-        self.view_indices.get(worker_index.0).copied().flatten().map(|index| index as usize)
+        self.view_indices
+            .get(worker_index.0)
+            .copied()
+            .flatten()
+            .map(|view_index| view_index as usize)
     }
 
-    fn allocate(&mut self, index: usize, demand: &Resources) {
-        self.workers[index].free = self.workers[index].free.minus(demand);
-        let sum = &mut self.services[self.workers[index].service].free;
+    fn allocate(&mut self, view_index: usize, demand: &Resources) {
+        self.workers[view_index].free = self.workers[view_index].free.minus(demand);
+        let sum = &mut self.services[self.workers[view_index].service].free;
         *sum = sum.minus(demand);
     }
 
-    pub fn deallocate(&mut self, index: usize, demand: &Resources) {
-        self.workers[index].free = self.workers[index].free.plus(demand);
-        let sum = &mut self.services[self.workers[index].service].free;
+    pub fn deallocate(&mut self, view_index: usize, demand: &Resources) {
+        self.workers[view_index].free = self.workers[view_index].free.plus(demand);
+        let sum = &mut self.services[self.workers[view_index].service].free;
         *sum = sum.plus(demand);
     }
 
     /// Picks workers for as many of the waiting tasks as possible and allocates the
-    /// capacity within this cycle. Returns pairs of a task index and a worker index.
+    /// capacity within this cycle. Returns pairs of a task's index and
+    /// the index of its worker in [`Self::workers`].
     ///
-    /// This is best fit: the worker that has the least left goes first, so that whole
-    /// workers stay free for large tasks.
+    /// This is best fit: the worker that has the smallest share of its capacity left is
+    /// filled first, so that whole workers stay free for large tasks.
     pub fn choose(
         &mut self,
         request: &PlacementRequest<'_>,
@@ -162,13 +167,13 @@
     ) -> Vec<(u32, usize)> {
         let demand = request.spec.worker_demand();
         let per_worker_max = request.spec.per_worker_max;
-        candidates.retain(|candidate| self.workers[candidate.index].may_start_here(request));
+        candidates.retain(|candidate| self.workers[candidate.view_index].may_start_here(request));
         // Sorted once: the best fit remains the best fit until it is full.
         candidates.sort_by(|a, b| self.score(a, &demand).total_cmp(&self.score(b, &demand)));
         let mut chosen = Vec::new();
         let mut waiting = waiting.iter();
         for mut candidate in candidates {
-            while self.workers[candidate.index].free.holds(&demand)
+            while self.workers[candidate.view_index].free.holds(&demand)
                 && (per_worker_max == 0 || candidate.tasks_on_worker < per_worker_max)
             {
                 if !self.leaves_headroom(request, &demand) {
@@ -176,8 +181,8 @@
                 }
                 let Some(task_index) = waiting.next() else { return chosen };
                 candidate.tasks_on_worker += 1;
-                self.allocate(candidate.index, &demand);
-                chosen.push((*task_index, candidate.index));
+                self.allocate(candidate.view_index, &demand);
+                chosen.push((*task_index, candidate.view_index));
             }
         }
         chosen
@@ -186,7 +191,7 @@
     /// The share of its capacity that a candidate would have left, plus its penalty;
     /// lower is better.
     fn score(&self, candidate: &Candidate, demand: &Resources) -> f64 {
-        let view = &self.workers[candidate.index];
+        let view = &self.workers[candidate.view_index];
         view.free.minus(demand).dominant_share(&view.capacity) + candidate.penalty
     }
 
@@ -280,7 +285,7 @@
         let tasks_on_worker = self.tasks_by_worker(step, step_index, spec);
         let mut candidates = Vec::with_capacity(eligible.len());
         for worker in eligible {
-            let view = &cycle.workers[worker.index];
+            let view = &cycle.workers[worker.view_index];
             if !view.free.holds(&demand) {
                 continue;
             }
@@ -291,7 +296,7 @@
             let penalty =
                 f64::from(u8::from(avoid)) * 4.0 + f64::from(u8::from(!worker.needs_no_new_ticket));
             let tasks_on_worker = tasks_on_worker.get(&view.worker_index).copied().unwrap_or(0);
-            candidates.push(Candidate { index: worker.index, penalty, tasks_on_worker });
+            candidates.push(Candidate { view_index: worker.view_index, penalty, tasks_on_worker });
         }
         candidates
     }
@@ -311,7 +316,7 @@
         let current_rack = self.rack_in_use(request.step, step_index);
         let mut racks: BTreeMap<&str, (u64, Vec<Candidate>)> = BTreeMap::new();
         for candidate in &candidates {
-            let view = &cycle.workers[candidate.index];
+            let view = &cycle.workers[candidate.view_index];
             let Some(rack) = self.worker_at(view.worker_index).and_then(Worker::rack) else {
                 continue;
             };
@@ -329,8 +334,8 @@
             if chosen.len() == waiting.len() {
                 return chosen;
             }
-            for (_, index) in chosen {
-                cycle.deallocate(index, &demand);
+            for (_, view_index) in chosen {
+                cycle.deallocate(view_index, &demand);
             }
         }
         cycle.choose(request, waiting, candidates)
--- a/crates/pool/src/job.rs
+++ b/crates/pool/src/job.rs
@@ -88,7 +88,7 @@
 
 impl Task {
     /// Whether the worker was told to run the task at less than full pace.
-    pub fn is_slowed(&self) -> bool {
+    pub fn is_throttled(&self) -> bool {
         self.pace_percent.is_some_and(|percent| percent < FULL_PACE)
     }
 
--- a/crates/pool/src/place.rs
+++ b/crates/pool/src/place.rs
@@ -309,20 +309,20 @@
         let Some(service) = cycle.service_index(&job.spec.queue.service) else { return Vec::new() };
         let mut eligible = Vec::new();
         if job.spec.queue.advice.is_none() {
-            for (index, view) in cycle.workers.iter().enumerate() {
+            for (view_index, view) in cycle.workers.iter().enumerate() {
                 if self.is_eligible(service, spec, view) {
-                    eligible.push(EligibleWorker { index, needs_no_new_ticket: true });
+                    eligible.push(EligibleWorker { view_index, needs_no_new_ticket: true });
                 }
             }
             return eligible;
         }
         let arrival_ms = self.start_arrival_ms(step.job, job.spec.queue.advice);
         for (worker_index, ticket) in &job.step_states[step_index].advice.granted {
-            let Some(index) = cycle.view_index_of(*worker_index) else { continue };
-            let view = &cycle.workers[index];
+            let Some(view_index) = cycle.view_index_of(*worker_index) else { continue };
+            let view = &cycle.workers[view_index];
             if self.is_eligible(service, spec, view) {
                 eligible.push(EligibleWorker {
-                    index,
+                    view_index,
                     needs_no_new_ticket: ticket.is_fresh(view.incarnation, arrival_ms),
                 });
             }
--- a/crates/pool/src/request.rs
+++ b/crates/pool/src/request.rs
@@ -50,7 +50,7 @@
         let mut names = Vec::new();
         let mut has_capacity = false;
         for eligible in self.eligible_workers(step, step_index, spec, cycle) {
-            let view = &cycle.workers[eligible.index];
+            let view = &cycle.workers[eligible.view_index];
             has_capacity |= view.free.holds(&need);
             names.push(self.name_of(view).clone());
         }
@@ -95,7 +95,7 @@
         let need = spec.worker_demand();
         let places_of = |view: &WorkerView| places_in(&view.capacity, &need);
         let granted_view = |worker_index: &WorkerIndex| {
-            cycle.view_index_of(*worker_index).map(|index| &cycle.workers[index])
+            cycle.view_index_of(*worker_index).map(|view_index| &cycle.workers[view_index])
         };
         let places: u64 = advice.granted.keys().filter_map(granted_view).map(places_of).sum();
         let has_enough = places >= u64::from(spec.tasks) * SUFFICIENT_PLACES_FACTOR;
@@ -106,7 +106,7 @@
         };
         // Ordered by free places, the most first.
         let mut candidates: Vec<(Reverse<u64>, u64, usize)> = Vec::new();
-        for (index, view) in cycle.workers.iter().enumerate() {
+        for (view_index, view) in cycle.workers.iter().enumerate() {
             if !view.capacity.holds(&need) || !self.is_eligible(service, spec, view) {
                 continue;
             }
@@ -114,13 +114,13 @@
             if (free == 0 && !include_full) || advice.queried.contains(&view.worker_index) {
                 continue;
             }
-            candidates.push((Reverse(free), tie_break(step, view.worker_index), index));
+            candidates.push((Reverse(free), tie_break(step, view.worker_index), view_index));
         }
         if candidates.is_empty() || (has_enough && candidates.len() < FURTHER_WORKERS_MIN) {
             return;
         }
         let places: u64 =
-            candidates.iter().map(|(.., index)| places_of(&cycle.workers[*index])).sum();
+            candidates.iter().map(|(.., view_index)| places_of(&cycle.workers[*view_index])).sum();
         let mean_places = places / candidates.len() as u64;
         let mut workers_max =
             self.query_workers_max(&job.spec.queue, u64::from(spec.tasks), mean_places);
@@ -146,8 +146,9 @@
             }
         }
         let selected = candidates.into_iter().take(workers_max);
-        let names: Vec<WorkerId> =
-            selected.map(|(.., index)| self.name_of(&cycle.workers[index]).clone()).collect();
+        let names: Vec<WorkerId> = selected
+            .map(|(.., view_index)| self.name_of(&cycle.workers[view_index]).clone())
+            .collect();
         if self.may_query(rule, names.len()) {
             self.query_advisor(step, &names);
         }
--- a/crates/pool/src/reserve.rs
+++ b/crates/pool/src/reserve.rs
@@ -58,33 +58,35 @@
         // For each place, the time until it is free and the index of its worker.
         let mut places: Vec<(u64, usize)> = Vec::new();
         let eligible = self.eligible_workers(step, step_index, spec, cycle);
-        let places_when_empty =
-            |worker: &EligibleWorker| places_in(&cycle.workers[worker.index].capacity, &demand);
+        let places_when_empty = |worker: &EligibleWorker| {
+            places_in(&cycle.workers[worker.view_index].capacity, &demand)
+        };
         let total_places: u64 = eligible.iter().map(places_when_empty).sum();
         if tasks as u64 * 100 < total_places * RESERVATION_MIN_PERCENT {
             return 0;
         }
         for worker in eligible {
-            if !cycle.workers[worker.index].reservation_permits(step, priority) {
+            if !cycle.workers[worker.view_index].reservation_permits(step, priority) {
                 continue;
             }
             let wait_times_ms =
-                self.place_wait_times_ms(cycle.workers[worker.index].worker_index, &demand);
-            places.extend(wait_times_ms.into_iter().map(|wait_ms| (wait_ms, worker.index)));
+                self.place_wait_times_ms(cycle.workers[worker.view_index].worker_index, &demand);
+            places.extend(wait_times_ms.into_iter().map(|wait_ms| (wait_ms, worker.view_index)));
         }
         places.sort_unstable();
         places.truncate(tasks);
         let until_ms = now_ms + places.last().map_or(0, |(wait_ms, _)| *wait_ms);
         let mut chosen_workers: Vec<WorkerIndex> = Vec::new();
-        for (_, index) in places {
-            if cycle.workers[index].reserved_for.is_some_and(|reserved| reserved.step == step) {
+        for (_, view_index) in places {
+            if cycle.workers[view_index].reserved_for.is_some_and(|reserved| reserved.step == step)
+            {
                 continue;
             }
             if chosen_workers.len() >= workers_max {
                 break;
             }
-            cycle.workers[index].reserved_for = Some(Reservation { priority, step, until_ms });
-            chosen_workers.push(cycle.workers[index].worker_index);
+            cycle.workers[view_index].reserved_for = Some(Reservation { priority, step, until_ms });
+            chosen_workers.push(cycle.workers[view_index].worker_index);
         }
         let reserved = chosen_workers.len();
         if let Some(job) = self.jobs.get_mut(&step.job) {
@@ -109,9 +111,10 @@
         let mut reserved = 0;
         let until_ms = job.step_states[step_index].reserved_until_ms;
         for worker_index in job.step_states[step_index].reserved.iter().take(workers_max) {
-            let Some(index) = cycle.view_index_of(*worker_index) else { continue };
-            if cycle.workers[index].reservation_permits(step, priority) {
-                cycle.workers[index].reserved_for = Some(Reservation { priority, step, until_ms });
+            let Some(view_index) = cycle.view_index_of(*worker_index) else { continue };
+            if cycle.workers[view_index].reservation_permits(step, priority) {
+                cycle.workers[view_index].reserved_for =
+                    Some(Reservation { priority, step, until_ms });
                 reserved += 1;
             }
         }
--- a/crates/pool/src/speed.rs
+++ b/crates/pool/src/speed.rs
@@ -14,14 +14,15 @@
 /// Run time from which on a task is taken into account. In less time its progress, which
 /// is reported in percent, is too coarse.
 const TASK_TIME_MIN_MS: u64 = 300;
-/// Total run time that the tasks of a worker need for a verdict. A single task may take
-/// three times its expected duration.
+/// Total run time of a worker's tasks from which on its speed is judged. A single task may
+/// take three times its expected duration.
 const TOTAL_TIME_MIN_MS: u64 = 900;
 /// Percentage of the expected speed below which a worker is slow, for one, two, and three
 /// or more tasks taken into account. Estimates are off by half and durations vary by half,
 /// so one task proves little; the mean of three on a healthy worker stays above the limit.
 const SLOW_PERCENT: [u64; 3] = [15, 22, 30];
-/// How long a slow worker gets no new tasks. The verdict is renewed with each answer.
+/// How long a slow worker gets no new tasks. The time starts again with each answer to a
+/// hold that shows that the worker is slow.
 const SLOW_QUARANTINE_MS: u64 = 1_200;
 /// How much sooner a task must be expected to finish elsewhere to be moved. This covers
 /// the time for the stop and the new start.
--- a/crates/pool/src/stalled.rs
+++ b/crates/pool/src/stalled.rs
@@ -56,7 +56,7 @@
                         Phase::Sent if self.is_start_lost(task) => lost_starts.push(id),
                         Phase::Running { .. }
                             if !step.long_running
-                                && !task.is_slowed()
+                                && !task.is_throttled()
                                 && progress_ms + stall_ms < self.now_ms =>
                         {
                             stalled.push(id);
@@ -102,7 +102,7 @@
             return;
         }
         if gang {
-            // The worker of any other member may be the one that delays all of them.
+            // The worker of another member may be at fault: one slow member delays all others.
             worker.failures = worker.failures.max(1);
         } else {
             worker.record_failure(now_ms, 2);
