--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -189,7 +189,10 @@
             // The deadline passed while the record was being written, so nothing was sent.
             self.release_slot(request_id, RequestEnd::NoFailure);
             self.requests.remove(&request_id);
-            self.finish_recorded_request(id, not_run(Code::DeadlinePassed, "it waited for its record"));
+            self.finish_recorded_request(
+                id,
+                not_run(Code::DeadlinePassed, "it waited for its record"),
+            );
             return;
         }
         self.send_request(request_id);
@@ -394,7 +397,10 @@
         }
         // The job was taken over from another daemon. The request's body is not here, and
         // no caller waits for the answer.
-        self.finish_recorded_request(id, not_run(Code::NoMinion, "the daemon that had it was replaced"));
+        self.finish_recorded_request(
+            id,
+            not_run(Code::NoMinion, "the daemon that had it was replaced"),
+        );
     }
 
     pub(crate) fn serve_waiting_requests(&mut self) {
--- a/crates/pool/src/advise.rs
+++ b/crates/pool/src/advise.rs
@@ -1,10 +1,13 @@
 //! Queries to the advisor, which decides on which workers a step may run.
 //!
-//! The set of granted workers does not change over time; only the tickets, which
-//! prove a grant to a worker, expire. A step therefore queries enough workers
-//! once and keeps the result. Just before a start it queries the few chosen
-//! workers again if a ticket of theirs is too old. The tasks keep their
-//! allocations on these workers until the answer arrives.
+//! In spite of its name, the advisor's decision is binding: if a queue has an advisor, a
+//! worker starts a task only with a valid ticket. A ticket is the advisor's proof that the
+//! step may run on that worker, and is valid for a limited time.
+//!
+//! The set of granted workers does not change over time; only the tickets expire. A
+//! step therefore queries about enough workers once and keeps the result. Just before a
+//! start it queries about the few chosen workers again if a ticket of theirs is too old.
+//! The tasks keep their allocations on these workers until the answer arrives.
 
 use stoatwell_model::WorkerId;
 
@@ -37,11 +40,11 @@
 /// Minimum number of daemons reserved for short queries, but never more than half of
 /// the daemons.
 const SHORT_ONLY_MIN: usize = 8;
-/// Lower bound of the limit on concurrent queries of one gang, also when no further
-/// long query is free. One after another they would take most of a second each, and
-/// other work would take the capacity meanwhile.
+/// Lower bound of the limit on concurrent queries of one gang. It applies even if no more
+/// long queries may be sent. Sent one after another, the queries of a gang would take most
+/// of a second each, and other work would take the capacity meanwhile.
 const GANG_QUERIES_MIN: usize = 2;
-/// A gang may use one in this many of the long queries that are still free.
+/// A gang may send one in this many of the long queries that may still be sent.
 const GANG_QUERIES_DIVISOR: usize = 4;
 /// A step has enough granted workers when their total capacity fits this many times
 /// its tasks.
@@ -92,13 +95,13 @@
     /// Queries the advisor about these workers, split into as many queries as needed.
     pub(crate) fn query_advisor(&mut self, step: StepId, workers: &[WorkerId]) {
         let Some(job) = self.jobs.get_mut(&step.job) else { return };
-        let Some(unit) = job.unit_of(step) else { return };
+        let Some(step_index) = job.step_index(step) else { return };
         let Some(rule) = job.spec.queue.advice else { return };
         let priority = job.spec.queue.priority;
         let queries = workers.len().div_ceil(self.limits.advice_workers_max).max(1);
         for chunk in workers.chunks(workers.len().div_ceil(queries).max(1)) {
             let cost_ms = query_cost_ms(rule, chunk.len());
-            job.units[unit].advice.queries += 1;
+            job.step_states[step_index].advice.queries += 1;
             self.queries += 1;
             self.long_queries += usize::from(cost_ms >= LONG_QUERY_MS);
             let workers = chunk.to_vec();
@@ -121,9 +124,9 @@
         }
         let Some(job) = self.jobs.get_mut(&step.job) else { return };
         let Some(rule) = job.spec.queue.advice else { return };
-        let Some(unit) = job.unit_of(step) else { return };
-        job.units[unit].retry_at_ms = 0;
-        let advice = &mut job.units[unit].advice;
+        let Some(step_index) = job.step_index(step) else { return };
+        job.step_states[step_index].retry_at_ms = 0;
+        let advice = &mut job.step_states[step_index].advice;
         advice.queries = advice.queries.saturating_sub(1);
         advice.retry_at_ms = 0;
         if let Some(granted) = &granted {
@@ -133,14 +136,15 @@
             None => advice.pause_until_ms = now_ms + RETRY_DELAY_MS,
             Some(granted) => {
                 tracing::debug!(%step, asked = queried.len(), granted = granted.len(), "advisor answered");
-                let slot = |name: &WorkerId| self.workers.get(name).map(|worker| worker.slot);
-                advice.queried.extend(queried.iter().filter_map(slot));
+                let worker_index =
+                    |name: &WorkerId| self.workers.get(name).map(|worker| worker.index);
+                advice.queried.extend(queried.iter().filter_map(worker_index));
                 for grant in granted {
                     let Some(worker) = self.workers.get(&grant.worker) else { continue };
                     let expires_ms = received_ms.min(now_ms) + rule.valid_ms;
                     let incarnation = worker.info.incarnation;
                     let ticket = Ticket { text: grant.ticket, incarnation, expires_ms };
-                    advice.granted.insert(worker.slot, ticket);
+                    advice.granted.insert(worker.index, ticket);
                 }
             }
         }
@@ -154,11 +158,11 @@
     /// the queue. A gang starts all of these tasks or none.
     fn start_reserved_tasks(&mut self, step: StepId) {
         let Some(job) = self.jobs.get(&step.job) else { return };
-        let Some(unit) = job.unit_of(step) else { return };
-        let gang = job.step(unit).gang;
+        let Some(step_index) = job.step_index(step) else { return };
+        let gang = job.step_spec(step_index).gang;
         let mut ready = Vec::new();
         let mut denied = Vec::new();
-        for (index, task) in job.units[unit].tasks.iter().enumerate() {
+        for (index, task) in job.step_states[step_index].tasks.iter().enumerate() {
             if task.phase != Phase::Reserved {
                 continue;
             }
@@ -183,9 +187,11 @@
     /// recorded now would arrive.
     pub(crate) fn has_fresh_ticket(&self, step: StepId, name: &WorkerId) -> bool {
         let Some(job) = self.jobs.get(&step.job) else { return false };
-        let Some(unit) = job.unit_of(step) else { return false };
+        let Some(step_index) = job.step_index(step) else { return false };
         let Some(worker) = self.workers.get(name) else { return false };
-        let Some(ticket) = job.units[unit].advice.granted.get(&worker.slot) else { return false };
+        let Some(ticket) = job.step_states[step_index].advice.granted.get(&worker.index) else {
+            return false;
+        };
         ticket.is_fresh(
             worker.info.incarnation,
             self.start_arrival_ms(step.job, job.spec.queue.advice),
@@ -196,8 +202,8 @@
     ///
     /// The start waits for the batch that is being written and for its own batch. When
     /// the store takes half a second for each, tickets that are valid now have expired
-    /// by then, and the refused starts would keep the store busy for as long as it is
-    /// slow.
+    /// by then. Their starts would be refused and recorded again, which would keep the
+    /// store busy for as long as it is slow.
     pub(crate) fn start_arrival_ms(&self, job: JobId, advice: Option<AdviceSpec>) -> u64 {
         let valid_ms = advice.map_or(0, |rule| rule.valid_ms);
         let writes_ms = self.commits.expected_batch_ms(job, self.now_ms) * 2;
@@ -210,8 +216,8 @@
     pub(crate) fn invalidate_ticket(&mut self, id: TaskId, name: &WorkerId) {
         let Some(worker) = self.workers.get(name) else { return };
         let Some(job) = self.jobs.get_mut(&id.step.job) else { return };
-        let Some(unit) = job.unit_of(id.step) else { return };
-        if let Some(ticket) = job.units[unit].advice.granted.get_mut(&worker.slot) {
+        let Some(step_index) = job.step_index(id.step) else { return };
+        if let Some(ticket) = job.step_states[step_index].advice.granted.get_mut(&worker.index) {
             ticket.expires_ms = 0;
         }
     }
--- a/crates/pool/src/choose.rs
+++ b/crates/pool/src/candidates.rs
@@ -1,4 +1,4 @@
-//! Selection of workers for the tasks of a unit.
+//! Selection of workers for the tasks of a step.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -10,18 +10,20 @@
 use crate::id::StepId;
 use crate::spec::StepSpec;
 use crate::spec::TASKS_MAX;
-use crate::worker::Slot;
 use crate::worker::Worker;
+use crate::worker::WorkerIndex;
 
-/// Capacity that other work leaves free for urgent work, in percent of what urgent work
-/// currently uses: enough to place twice the usual arrivals at once while running tasks
-/// end.
+/// Capacity that other work leaves free for urgent work, in percent of the moving average of
+/// what urgent work uses. This is enough to place twice the usual arrivals at once, because
+/// capacity also comes free as running tasks end.
 const HEADROOM_PERCENT: u64 = 80;
 
-/// Capacity that work with much slack leaves free for the priorities between urgent and
-/// its own, in percent of what they currently use. Work has much slack if it could wait
-/// for its own expected duration and still be in time. Gangs need much capacity at one
-/// moment, which such work would otherwise take bit by bit.
+/// Capacity that work with much slack leaves free for the priorities between urgent and its
+/// own, in percent of the moving average of what those priorities use.
+///
+/// Work has much slack if it could wait for its own expected duration and still be in time.
+/// Without this limit, such work would take capacity bit by bit as it comes free, and gangs
+/// would not find the much larger capacity that they need at one moment.
 const SLACK_HEADROOM_PERCENT: u64 = 20;
 
 /// The state of one scheduling cycle: the workers that may get tasks, with the capacity
@@ -29,8 +31,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct Cycle {
     pub workers: Vec<WorkerView>,
-    /// Indices into `workers` by the workers' slots; `None` for workers that take no tasks.
-    indices: Vec<Option<u32>>,
+    /// Indices into `workers` by [`WorkerIndex`]; `None` for workers that take no tasks.
+    view_indices: Vec<Option<u32>>,
     services: Vec<Service>,
     /// What each customer uses, by [`CustomerId`](crate::customers::CustomerId).
     pub customers: Vec<Resources>,
@@ -47,17 +49,18 @@
 /// A worker during one scheduling cycle.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkerView {
-    pub slot: Slot,
+    pub worker_index: WorkerIndex,
     /// The index of its service, see [`Cycle::service_index`].
     pub service: usize,
     pub incarnation: u64,
-    /// See [`Worker::is_suspect`].
-    suspect: bool,
+    /// See [`Worker::has_recent_failures`].
+    has_recent_failures: bool,
     pub free: Resources,
     pub capacity: Resources,
-    /// The waiting gang that the worker is reserved for. Meanwhile only work of higher
-    /// priority may go here, and work that ends before the gang could start. Smaller
-    /// gangs of the same priority would otherwise overtake a large one again and again.
+    /// The waiting gang that the worker is reserved for. While it is reserved, the worker
+    /// takes no other work except work of higher priority, and work that ends before the
+    /// gang could start. Otherwise smaller gangs of the same priority would overtake a large
+    /// one again and again.
     pub reserved_for: Option<Reservation>,
 }
 
@@ -66,12 +69,12 @@
 pub(crate) struct Reservation {
     pub priority: u32,
     pub step: StepId,
-    /// When capacity for the last of its tasks is expected to come free; until then the
-    /// reserved capacity would be idle.
+    /// When capacity for the last of its tasks is expected to come free. The gang cannot
+    /// start before that, so work that ends earlier may use the reserved capacity.
     pub until_ms: u64,
 }
 
-/// A request to place tasks of a unit.
+/// A request to place tasks of a step.
 #[derive(Debug)]
 pub(crate) struct PlacementRequest<'a> {
     pub step: StepId,
@@ -84,37 +87,39 @@
     pub headroom: Resources,
 }
 
-/// A worker that may run a unit's tasks, whether or not it has free capacity.
+/// A worker that may run a step's tasks, whether or not it has free capacity.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EligibleWorker {
     /// The index in [`Cycle::workers`].
-    pub index: usize,
-    /// Whether a start needs no ticket or would arrive with a valid one.
-    pub ticket_fresh: bool,
+    pub view_index: usize,
+    /// Whether the advisor need not be queried before a start: the queue has no advisor, or
+    /// the step has a ticket for this worker that will still be valid when a start arrives.
+    pub needs_no_new_ticket: bool,
 }
 
-/// An eligible worker with free capacity for a task of the unit.
+/// An eligible worker with free capacity for a task of the step.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
     /// The index in [`Cycle::workers`].
-    index: usize,
+    view_index: usize,
     /// Penalty that is added to the share of capacity left free; see [`Cycle::score`].
     penalty: f64,
-    /// Tasks of the unit on this worker. Only counted if the step limits them.
-    unit_tasks: u32,
+    /// Tasks of the step on this worker. Only counted if the step limits them.
+    tasks_on_worker: u32,
 }
 
 impl WorkerView {
-    /// Whether the worker's reservation lets this unit use it.
-    pub fn admits(&self, step: StepId, priority: u32) -> bool {
+    /// Whether the worker is free of a reservation that excludes a step of this priority.
+    pub fn reservation_permits(&self, step: StepId, priority: u32) -> bool {
         self.reserved_for
             .is_none_or(|reserved| reserved.step == step || priority < reserved.priority)
     }
 
-    /// Whether a task of this unit may start here now: as [`Self::admits`], or because it
-    /// is expected to end before the gang with the reservation could start.
-    fn accepts(&self, request: &PlacementRequest<'_>) -> bool {
-        self.admits(request.step, request.priority)
+    /// Whether the reservation, if any, lets a task of this step start here now. In addition
+    /// to what [`Self::reservation_permits`], a task may start that is expected to end before
+    /// the gang with the reservation could start.
+    fn may_start_here(&self, request: &PlacementRequest<'_>) -> bool {
+        self.reservation_permits(request.step, request.priority)
             || self
                 .reserved_for
                 .is_some_and(|reserved| request.expected_end_ms <= reserved.until_ms)
@@ -128,27 +133,32 @@
     }
 
     /// The index of a worker in `workers`; `None` if it takes no tasks in this cycle.
-    pub fn index_of(&self, slot: Slot) -> Option<usize> {
-        self.indices.get(slot.0).copied().flatten().map(|index| index as usize)
+    pub fn view_index_of(&self, worker_index: WorkerIndex) -> Option<usize> {
+        self.view_indices
+            .get(worker_index.0)
+            .copied()
+            .flatten()
+            .map(|view_index| view_index as usize)
     }
 
-    fn allocate(&mut self, index: usize, demand: &Resources) {
-        self.workers[index].free = self.workers[index].free.minus(demand);
-        let sum = &mut self.services[self.workers[index].service].free;
+    fn allocate(&mut self, view_index: usize, demand: &Resources) {
+        self.workers[view_index].free = self.workers[view_index].free.minus(demand);
+        let sum = &mut self.services[self.workers[view_index].service].free;
         *sum = sum.minus(demand);
     }
 
-    pub fn deallocate(&mut self, index: usize, demand: &Resources) {
-        self.workers[index].free = self.workers[index].free.plus(demand);
-        let sum = &mut self.services[self.workers[index].service].free;
+    pub fn deallocate(&mut self, view_index: usize, demand: &Resources) {
+        self.workers[view_index].free = self.workers[view_index].free.plus(demand);
+        let sum = &mut self.services[self.workers[view_index].service].free;
         *sum = sum.plus(demand);
     }
 
     /// Picks workers for as many of the waiting tasks as possible and allocates the
-    /// capacity within this cycle. Returns pairs of a task index and a worker index.
+    /// capacity within this cycle. Returns pairs of a task's index and
+    /// the index of its worker in [`Self::workers`].
     ///
-    /// This is best fit: the worker that has the least left goes first, so that whole
-    /// workers stay free for large tasks.
+    /// This is best fit: the worker that has the smallest share of its capacity left is
+    /// filled first, so that whole workers stay free for large tasks.
     pub fn choose(
         &mut self,
         request: &PlacementRequest<'_>,
@@ -157,22 +167,22 @@
     ) -> Vec<(u32, usize)> {
         let demand = request.spec.worker_demand();
         let per_worker_max = request.spec.per_worker_max;
-        candidates.retain(|candidate| self.workers[candidate.index].accepts(request));
+        candidates.retain(|candidate| self.workers[candidate.view_index].may_start_here(request));
         // Sorted once: the best fit remains the best fit until it is full.
         candidates.sort_by(|a, b| self.score(a, &demand).total_cmp(&self.score(b, &demand)));
         let mut chosen = Vec::new();
         let mut waiting = waiting.iter();
         for mut candidate in candidates {
-            while self.workers[candidate.index].free.holds(&demand)
-                && (per_worker_max == 0 || candidate.unit_tasks < per_worker_max)
+            while self.workers[candidate.view_index].free.holds(&demand)
+                && (per_worker_max == 0 || candidate.tasks_on_worker < per_worker_max)
             {
                 if !self.leaves_headroom(request, &demand) {
                     return chosen;
                 }
                 let Some(task_index) = waiting.next() else { return chosen };
-                candidate.unit_tasks += 1;
-                self.allocate(candidate.index, &demand);
-                chosen.push((*task_index, candidate.index));
+                candidate.tasks_on_worker += 1;
+                self.allocate(candidate.view_index, &demand);
+                chosen.push((*task_index, candidate.view_index));
             }
         }
         chosen
@@ -181,7 +191,7 @@
     /// The share of its capacity that a candidate would have left, plus its penalty;
     /// lower is better.
     fn score(&self, candidate: &Candidate, demand: &Resources) -> f64 {
-        let view = &self.workers[candidate.index];
+        let view = &self.workers[candidate.view_index];
         view.free.minus(demand).dominant_share(&view.capacity) + candidate.penalty
     }
 
@@ -196,16 +206,16 @@
 impl Pool {
     /// Starts a scheduling cycle with the workers that take tasks now.
     ///
-    /// These are the open workers, and those in quarantine only for failed runs in
-    /// services where [`Pool::services_with_worker_faults`] does not blame the workers.
+    /// These are the open workers. Workers that are closed only by a quarantine for failed
+    /// runs are added if their service is not in [`Pool::services_enforcing_quarantine`].
     pub(crate) fn begin_cycle(&self) -> Cycle {
         let mut cycle = Cycle { customers: self.customer_usage(), ..Cycle::default() };
         cycle.workers.reserve(self.workers.len());
-        cycle.indices.resize(self.worker_names.len(), None);
-        let worker_faults = self.services_with_worker_faults();
+        cycle.view_indices.resize(self.worker_names.len(), None);
+        let enforcing_services = self.services_enforcing_quarantine();
         for worker in self.workers.values() {
-            let quarantine_waived = worker.is_only_suspect(self.now_ms)
-                && !worker_faults.contains(&worker.info.service.as_str());
+            let quarantine_waived = worker.is_quarantined_for_failures(self.now_ms)
+                && !enforcing_services.contains(&worker.info.service.as_str());
             if !worker.is_open(self.now_ms) && !quarantine_waived {
                 continue;
             }
@@ -217,12 +227,12 @@
             });
             let sum = &mut cycle.services[service].free;
             *sum = sum.plus(&free);
-            cycle.indices[worker.slot.0] = Some(cycle.workers.len() as u32);
+            cycle.view_indices[worker.index.0] = Some(cycle.workers.len() as u32);
             cycle.workers.push(WorkerView {
-                slot: worker.slot,
+                worker_index: worker.index,
                 service,
                 incarnation: worker.info.incarnation,
-                suspect: worker.is_suspect(),
+                has_recent_failures: worker.has_recent_failures(),
                 free,
                 capacity: worker.info.capacity,
                 reserved_for: None,
@@ -231,16 +241,17 @@
         cycle
     }
 
-    /// The worker with this slot; `None` if it has been removed.
-    pub(crate) fn worker_at(&self, slot: Slot) -> Option<&Worker> {
-        self.workers.get(self.worker_names.get(slot.0)?)
+    /// The worker with this index; `None` if it has been removed.
+    pub(crate) fn worker_at(&self, worker_index: WorkerIndex) -> Option<&Worker> {
+        self.workers.get(self.worker_names.get(worker_index.0)?)
     }
 
-    /// Services whose failed runs are presumably caused by their workers.
+    /// Services in which a worker with failed runs stays in quarantine.
     ///
-    /// If runs fail on most workers of a service, the tasks themselves are presumably at
-    /// fault. With all of these workers in quarantine, nothing of the service would run.
-    fn services_with_worker_faults(&self) -> Vec<&str> {
+    /// Elsewhere, more workers are in quarantine for failed runs than are open. If runs fail
+    /// on most workers of a service, the tasks themselves are presumably at fault, and if all
+    /// of these workers stayed in quarantine, no task of the service would run.
+    fn services_enforcing_quarantine(&self) -> Vec<&str> {
         // Service, open workers, workers in quarantine for failed runs. A list is enough
         // since there are few services.
         let mut counts: Vec<(&str, usize, usize)> = Vec::new();
@@ -251,12 +262,13 @@
                 counts.push((service, 0, 0));
                 counts.len() - 1
             });
-            let (_, open, suspect) = &mut counts[index];
+            let (_, open, quarantined) = &mut counts[index];
             *open += usize::from(worker.is_open(self.now_ms));
-            *suspect += usize::from(worker.is_only_suspect(self.now_ms));
+            *quarantined += usize::from(worker.is_quarantined_for_failures(self.now_ms));
         }
-        let few_suspects = |(_, open, suspect): &(&str, usize, usize)| suspect <= open;
-        counts.into_iter().filter(few_suspects).map(|(service, ..)| service).collect()
+        let enforces_quarantine =
+            |(_, open, quarantined): &(&str, usize, usize)| quarantined <= open;
+        counts.into_iter().filter(enforces_quarantine).map(|(service, ..)| service).collect()
     }
 
     /// The eligible workers with free capacity for a task, each with a penalty for being
@@ -264,26 +276,27 @@
     pub(crate) fn candidates(
         &self,
         step: StepId,
-        unit: usize,
+        step_index: usize,
         spec: &StepSpec,
         eligible: &[EligibleWorker],
         cycle: &Cycle,
     ) -> Vec<Candidate> {
         let demand = spec.worker_demand();
-        let unit_tasks = self.unit_tasks_by_worker(step, unit, spec);
+        let tasks_on_worker = self.tasks_by_worker(step, step_index, spec);
         let mut candidates = Vec::with_capacity(eligible.len());
         for worker in eligible {
-            let view = &cycle.workers[worker.index];
+            let view = &cycle.workers[worker.view_index];
             if !view.free.holds(&demand) {
                 continue;
             }
             let outside_rack = spec.near_rack.is_some()
-                && spec.near_rack.as_deref() != self.worker_at(view.slot).and_then(Worker::rack);
-            let avoid = outside_rack || view.suspect;
+                && spec.near_rack.as_deref()
+                    != self.worker_at(view.worker_index).and_then(Worker::rack);
+            let avoid = outside_rack || view.has_recent_failures;
             let penalty =
-                f64::from(u8::from(avoid)) * 4.0 + f64::from(u8::from(!worker.ticket_fresh));
-            let unit_tasks = unit_tasks.get(&view.slot).copied().unwrap_or(0);
-            candidates.push(Candidate { index: worker.index, penalty, unit_tasks });
+                f64::from(u8::from(avoid)) * 4.0 + f64::from(u8::from(!worker.needs_no_new_ticket));
+            let tasks_on_worker = tasks_on_worker.get(&view.worker_index).copied().unwrap_or(0);
+            candidates.push(Candidate { view_index: worker.view_index, penalty, tasks_on_worker });
         }
         candidates
     }
@@ -294,17 +307,17 @@
     pub(crate) fn choose_in_one_rack(
         &self,
         request: &PlacementRequest<'_>,
-        unit: usize,
+        step_index: usize,
         waiting: &[u32],
         candidates: Vec<Candidate>,
         cycle: &mut Cycle,
     ) -> Vec<(u32, usize)> {
         let demand = request.spec.worker_demand();
-        let current_rack = self.rack_in_use(request.step, unit);
+        let current_rack = self.rack_in_use(request.step, step_index);
         let mut racks: BTreeMap<&str, (u64, Vec<Candidate>)> = BTreeMap::new();
         for candidate in &candidates {
-            let view = &cycle.workers[candidate.index];
-            let Some(rack) = self.worker_at(view.slot).and_then(Worker::rack) else {
+            let view = &cycle.workers[candidate.view_index];
+            let Some(rack) = self.worker_at(view.worker_index).and_then(Worker::rack) else {
                 continue;
             };
             let (places, members) = racks.entry(rack).or_default();
@@ -313,29 +326,29 @@
         }
         let mut order: Vec<(&str, (u64, Vec<Candidate>))> = racks.into_iter().collect();
         order.retain(|(_, (places, _))| *places >= waiting.len() as u64);
-        // The rack that the unit already uses first, then those with the least free
-        // capacity, so that large parts of the others stay whole.
+        // The rack that the step already uses first, then those with the least free
+        // capacity: racks with much free capacity are left for large steps.
         order.sort_by_key(|(rack, (places, _))| (Some(*rack) != current_rack, *places));
         for (_, (_, members)) in order {
             let chosen = cycle.choose(request, waiting, members);
             if chosen.len() == waiting.len() {
                 return chosen;
             }
-            for (_, index) in chosen {
-                cycle.deallocate(index, &demand);
+            for (_, view_index) in chosen {
+                cycle.deallocate(view_index, &demand);
             }
         }
         cycle.choose(request, waiting, candidates)
     }
 
-    /// The rack of the first task of the unit that is on a worker.
-    fn rack_in_use(&self, step: StepId, unit: usize) -> Option<&str> {
-        let tasks = &self.jobs.get(&step.job)?.units[unit].tasks;
+    /// The rack of the first task of the step that is on a worker.
+    fn rack_in_use(&self, step: StepId, step_index: usize) -> Option<&str> {
+        let tasks = &self.jobs.get(&step.job)?.step_states[step_index].tasks;
         let name = tasks.iter().find_map(|task| task.worker.as_ref())?;
         self.workers.get(name)?.rack()
     }
 
-    /// Capacity of the service that a unit has to leave free for work of higher priority.
+    /// Capacity of the service that a step has to leave free for work of higher priority.
     pub(crate) fn headroom(&self, step: StepId, key: QueueKey) -> Resources {
         let Some(job) = self.jobs.get(&step.job).filter(|_| key.priority > 0) else {
             return Resources::ZERO;
@@ -349,23 +362,23 @@
         urgent.plus(&between.share(SLACK_HEADROOM_PERCENT, 100))
     }
 
-    /// How many tasks of the unit each worker has; empty if the step sets no limit.
-    fn unit_tasks_by_worker(
+    /// How many tasks of the step each worker has; empty if the step sets no limit.
+    fn tasks_by_worker(
         &self,
         step: StepId,
-        unit: usize,
+        step_index: usize,
         spec: &StepSpec,
-    ) -> HashMap<Slot, u32> {
+    ) -> HashMap<WorkerIndex, u32> {
         let mut counts = HashMap::new();
         let Some(job) = self.jobs.get(&step.job) else { return counts };
         if spec.per_worker_max == 0 {
             return counts;
         }
-        for task in &job.units[unit].tasks {
+        for task in &job.step_states[step_index].tasks {
             let Some(worker) = task.worker.as_ref().and_then(|name| self.workers.get(name)) else {
                 continue;
             };
-            *counts.entry(worker.slot).or_default() += 1;
+            *counts.entry(worker.index).or_default() += 1;
         }
         counts
     }
--- a/crates/pool/src/commit.rs
+++ b/crates/pool/src/commit.rs
@@ -3,10 +3,11 @@
 //!
 //! Rows are spread over partitions of the store. The store processes the transactions of a
 //! partition one after the other, so each partition has at most one batch in flight. While
-//! the store is fast, the rows of several partitions share a transaction: with hundreds of
-//! starts and ends a second, one call for each would cost more than it saves. While the
-//! store is slow or some of its partitions fail, each partition has its own transactions, so
-//! that none waits for the slowest.
+//! the store is fast, the rows of several partitions share a batch. There are hundreds of
+//! starts and ends a second; with a call to the store for each partition, the calls would
+//! take more time than the partitions gain by not waiting for each other. While the store
+//! is slow or some of its partitions fail, each partition has its own batches, so that none
+//! waits for the slowest.
 //!
 //! Submissions are made durable here too. The write of a submission is delayed briefly for
 //! its first start, which then needs no write of its own.
@@ -30,16 +31,16 @@
 /// submission two, and each partition has one for its fence.
 const ENTRIES_MAX: usize = 96;
 /// Most partitions in one transaction.
-const PARTITIONS_PER_GROUP_MAX: usize = 24;
+const PARTITIONS_PER_BATCH_MAX: usize = 24;
 /// Most batches of several partitions in flight at the same time.
-const GROUPS_IN_FLIGHT_MAX: usize = 1;
+const MULTI_PARTITION_BATCHES_MAX: usize = 1;
 /// The store is slow if it takes longer than this for a batch.
 const SLOW_BATCH_MS: u64 = 60;
-/// A batch counts with at most this time in the mean: one that waited for the end of an
-/// outage says little about the next.
+/// Upper bound of the time that a single batch adds to the mean. After an outage the time
+/// of a batch includes the wait for its end, and says little about the next batch.
 const BATCH_SAMPLE_MAX_MS: u64 = 500;
-/// How long the write of a submission is delayed for its first start: a few round trips to
-/// the advisor.
+/// How long the write of a submission is delayed for its first start. The start may need a
+/// ticket from the advisor, and a few round trips to the advisor fit into this time.
 const FIRST_START_WAIT_MS: u64 = 40;
 /// A partition is stuck if its batch takes longer than this and longer than
 /// [`STUCK_FACTOR`] times the mean.
@@ -68,8 +69,9 @@
 #[derive(Debug, Default)]
 struct Partition {
     dirty: BTreeMap<JobId, Dirty>,
-    /// The dirty jobs in the order in which they became dirty. In the order of their
-    /// numbers, some would wait for as long as more jobs are dirty than fit into a batch.
+    /// The dirty jobs in the order in which they became dirty. They are written in this
+    /// order: in the order of the jobs' ids, jobs with high ids would starve whenever more
+    /// jobs are dirty than fit into a batch.
     order: VecDeque<JobId>,
     removes: Vec<JobId>,
     in_flight: Option<InFlight>,
@@ -88,8 +90,8 @@
 struct InFlight {
     batch: u64,
     since_ms: u64,
-    /// Whether the transaction may span several partitions.
-    grouped: bool,
+    /// Whether the batch may have writes to other partitions too.
+    multi_partition: bool,
     jobs: Vec<JobId>,
     actions: Vec<AfterCommit>,
 }
@@ -186,22 +188,22 @@
         true
     }
 
-    /// Whether a job's row is being written or waits to be written.
-    pub fn has_pending(&self, job: JobId) -> bool {
+    /// Whether a row of this job is being written or waits to be written.
+    pub fn is_write_pending(&self, job: JobId) -> bool {
         let partition = &self.partitions[job.partition()];
         partition.dirty.contains_key(&job)
             || partition.in_flight.as_ref().is_some_and(|batch| batch.jobs.contains(&job))
     }
 
-    /// Whether a partition's batch takes so long that new writes would only wait behind it.
+    /// Whether a partition's batch takes so long that new writes would only wait for it.
     fn is_stuck(&self, partition: usize, now_ms: u64) -> bool {
         let allowed_ms = STUCK_MIN_MS.max(self.mean_batch_ms * STUCK_FACTOR);
         let since_ms = self.partitions[partition].in_flight.as_ref().map(|batch| batch.since_ms);
         since_ms.is_some_and(|since_ms| since_ms + allowed_ms < now_ms)
     }
 
-    /// Jobs whose rows wait behind a stuck partition.
-    fn waiting_behind_stuck(&self, now_ms: u64) -> Vec<JobId> {
+    /// Jobs with rows that wait for the batch of a stuck partition.
+    fn jobs_in_stuck_partitions(&self, now_ms: u64) -> Vec<JobId> {
         let mut waiting = Vec::new();
         for (number, partition) in self.partitions.iter().enumerate() {
             if self.is_stuck(number, now_ms) {
@@ -227,8 +229,8 @@
             || in_flight.any(|batch| batch.since_ms + SLOW_BATCH_MS < now_ms)
     }
 
-    /// Whether a row is being written or waits to be written.
-    pub fn is_busy(&self) -> bool {
+    /// Whether a row of any job is being written or waits to be written.
+    pub fn has_pending_writes(&self) -> bool {
         self.partitions
             .iter()
             .any(|partition| partition.in_flight.is_some() || !partition.dirty.is_empty())
@@ -241,37 +243,38 @@
     }
 
     /// Whether as many batches of several partitions are in flight as are allowed.
-    fn is_group_limit_reached(&self) -> bool {
-        let mut groups = Vec::new();
+    fn is_multi_partition_limit_reached(&self) -> bool {
+        let mut batch_numbers = Vec::new();
         for partition in &self.partitions {
-            let Some(batch) = partition.in_flight.as_ref().filter(|batch| batch.grouped) else {
+            let Some(batch) = partition.in_flight.as_ref().filter(|batch| batch.multi_partition)
+            else {
                 continue;
             };
-            if !groups.contains(&batch.batch) {
-                groups.push(batch.batch);
+            if !batch_numbers.contains(&batch.batch) {
+                batch_numbers.push(batch.batch);
             }
         }
-        groups.len() >= GROUPS_IN_FLIGHT_MAX
+        batch_numbers.len() >= MULTI_PARTITION_BATCHES_MAX
     }
 }
 
 impl Pool {
-    /// Requests that a submission is made durable, together with its first start if that
-    /// is chosen soon.
-    pub(crate) fn note_submission(&mut self, job: JobId) {
+    /// Requests that a submission is made durable. The write is delayed briefly, so that it
+    /// includes the first start if a worker is chosen soon.
+    pub(crate) fn schedule_submission_write(&mut self, job: JobId) {
         let due_ms = self.now_ms + FIRST_START_WAIT_MS;
         self.commits.mark_dirty_by(job, AfterCommit::Accept(job), due_ms);
     }
 
-    /// Whether a submission would wait behind a stuck partition.
+    /// Whether a submission would have to wait for the batch of a stuck partition.
     pub(crate) fn is_partition_stuck(&self, job: JobId) -> bool {
         self.commits.is_stuck(job.partition(), self.now_ms)
     }
 
-    /// Refuses submissions that wait behind a stuck partition, while their callers still
-    /// have time to retry.
-    pub(crate) fn refuse_behind_stuck(&mut self) {
-        for id in self.commits.waiting_behind_stuck(self.now_ms) {
+    /// Rejects submissions that wait for the batch of a stuck partition, while their
+    /// callers still have time to retry.
+    pub(crate) fn reject_stuck_submissions(&mut self) {
+        for id in self.commits.jobs_in_stuck_partitions(self.now_ms) {
             if self.withdraw(id) {
                 self.effects.push(Effect::Answer { job: id, accepted: Accepted::No });
             }
@@ -282,28 +285,28 @@
     pub(crate) fn commit(&mut self) {
         let now_ms = self.now_ms;
         let slow = self.commits.is_slow(now_ms);
-        if !slow && self.commits.is_group_limit_reached() {
+        if !slow && self.commits.is_multi_partition_limit_reached() {
             return;
         }
-        let mut group = Group::default();
+        let mut batch = Batch::default();
         for partition in 0..PARTITIONS {
             if slow {
-                group = Group::default();
+                batch = Batch::default();
             }
-            if group.writes.len() >= PARTITIONS_PER_GROUP_MAX {
+            if batch.writes.len() >= PARTITIONS_PER_BATCH_MAX {
                 break;
             }
-            self.fill_group(partition, &mut group);
+            self.fill_batch(partition, &mut batch);
             if slow {
-                self.send_group(group, false);
-                group = Group::default();
+                self.send_batch(batch, false);
+                batch = Batch::default();
             }
         }
-        self.send_group(group, true);
+        self.send_batch(batch, true);
     }
 
-    /// Adds a partition's due rows and removals to a group, as far as there is space.
-    fn fill_group(&mut self, partition: usize, group: &mut Group) {
+    /// Adds a partition's due rows and removals to a batch, as far as there is space.
+    fn fill_batch(&mut self, partition: usize, batch: &mut Batch) {
         let now_ms = self.now_ms;
         let pending = &mut self.commits.partitions[partition];
         if pending.in_flight.is_some() || (pending.order.is_empty() && pending.removes.is_empty()) {
@@ -313,14 +316,14 @@
         let mut in_flight = InFlight {
             batch: 0,
             since_ms: now_ms,
-            grouped: false,
+            multi_partition: false,
             jobs: Vec::new(),
             actions: Vec::new(),
         };
         let mut deferred = VecDeque::new();
         while let Some(id) = pending.order.pop_front() {
-            let full = group.entries + ENTRIES_PER_JOB_MAX > ENTRIES_MAX
-                || group.bytes > self.limits.batch_bytes_max;
+            let full = batch.entries + ENTRIES_PER_JOB_MAX > ENTRIES_MAX
+                || batch.bytes > self.limits.batch_bytes_max;
             let due = pending.dirty.get(&id).is_some_and(|dirty| dirty.due_ms <= now_ms);
             if full || !due {
                 deferred.push_back(id);
@@ -331,10 +334,10 @@
             let progress = job.progress(&self.workers);
             let has_progress = !progress.tasks.is_empty() || progress.outcome.is_some();
             let submission = (!job.durable).then(|| Arc::clone(&job.spec));
-            group.entries += 1 + 2 * usize::from(submission.is_some());
-            group.bytes += ROW_BYTES + progress.tasks.len() * TASK_BYTES;
+            batch.entries += 1 + 2 * usize::from(submission.is_some());
+            batch.bytes += ROW_BYTES + progress.tasks.len() * TASK_BYTES;
             if submission.is_some() {
-                group.bytes += job.payload.len() + job.spec.steps.len() * STEP_BYTES;
+                batch.bytes += job.payload.len() + job.spec.steps.len() * STEP_BYTES;
             }
             let progress = has_progress.then_some(progress);
             write.puts.push(Put { job: id, submission, progress });
@@ -342,30 +345,30 @@
             in_flight.actions.extend(dirty.actions);
         }
         pending.order = deferred;
-        let removes_max = ENTRIES_MAX.saturating_sub(group.entries) / ENTRIES_PER_REMOVAL;
+        let removes_max = ENTRIES_MAX.saturating_sub(batch.entries) / ENTRIES_PER_REMOVAL;
         let left_over = pending.removes.len().saturating_sub(removes_max);
         write.removes = pending.removes.split_off(left_over);
         if write.puts.is_empty() && write.removes.is_empty() {
             return;
         }
-        group.entries += 1 + write.removes.len() * ENTRIES_PER_REMOVAL;
-        group.writes.push(write);
+        batch.entries += 1 + write.removes.len() * ENTRIES_PER_REMOVAL;
+        batch.writes.push(write);
         pending.in_flight = Some(in_flight);
     }
 
-    fn send_group(&mut self, group: Group, grouped: bool) {
-        if group.writes.is_empty() {
+    fn send_batch(&mut self, new_batch: Batch, multi_partition: bool) {
+        if new_batch.writes.is_empty() {
             return;
         }
         self.commits.last_batch += 1;
         let batch = self.commits.last_batch;
-        for write in &group.writes {
+        for write in &new_batch.writes {
             if let Some(in_flight) = &mut self.commits.partitions[write.partition].in_flight {
                 in_flight.batch = batch;
-                in_flight.grouped = grouped;
+                in_flight.multi_partition = multi_partition;
             }
         }
-        self.effects.push(Effect::Commit { batch, writes: group.writes });
+        self.effects.push(Effect::Commit { batch, writes: new_batch.writes });
     }
 
     pub(crate) fn on_committed(&mut self, batch: u64, partition: usize) {
@@ -406,9 +409,9 @@
 /// Entries that the removal of one job needs in a transaction.
 const ENTRIES_PER_REMOVAL: usize = 3;
 
-/// Writes that are sent as one transaction.
+/// Writes that are sent to the store together, in one [`Effect::Commit`].
 #[derive(Debug, Default)]
-struct Group {
+struct Batch {
     writes: Vec<PartitionWrite>,
     entries: usize,
     bytes: usize,
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -4,14 +4,29 @@
 //! event, [`Pool::poll_effects`] returns the actions to be carried out. The pool does no
 //! I/O and reads no clock, so tests can replay any sequence of failures in virtual time.
 //!
-//! Three rules keep a task from running twice. A start is durable before it is sent. A
-//! worker that has answered a hold under a fencing token carries out no call with a lower
-//! one. A run whose start was not answered is stopped, and is started elsewhere only
-//! after the stop was answered and a later hold does not list the run, or after the
-//! worker's lease has certainly expired.
+//! These words have a fixed meaning in this crate:
+//!
+//! - A *job* has steps, and a *step* has identical tasks. If the job is repeated, each
+//!   occurrence has its own copy of the steps. A "step" without further qualification is
+//!   one step of one occurrence.
+//! - A *run* is one attempt to execute a task on a worker. Runs of a task are numbered.
+//! - A *hold* is a long poll of a worker. It renews the lease under which the worker may
+//!   keep its runs, and returns the runs that the worker has.
+//! - The *advisor* is an external service. If a queue has one, it decides which workers may
+//!   run a step. A *ticket* proves that permission; a start needs a valid one.
+//! - The *pace* of a run is the limit on its speed, in percent of its full speed.
+//!
+//! Three rules keep a task from running twice:
+//!
+//! - A start is durable before it is sent.
+//! - Every call carries a fencing token. A worker that has answered a hold refuses all
+//!   calls whose token is lower than the one of that hold.
+//! - If a start was not answered, its run is stopped. The task is started elsewhere only
+//!   after the stop was answered and a later hold does not list the run, or after the
+//!   worker's lease has certainly expired.
 
 mod advise;
-mod choose;
+mod candidates;
 mod commit;
 mod customers;
 mod dump;
@@ -47,8 +62,8 @@
 use crate::estimates::Estimates;
 use crate::job::Job;
 use crate::job::Phase;
-use crate::worker::Slot;
 use crate::worker::Worker;
+use crate::worker::WorkerIndex;
 
 pub use crate::advise::LONG_QUERY_MS;
 pub use crate::advise::long_queries_max;
@@ -118,8 +133,9 @@
 pub struct Election {
     /// Increases with every change of leader; the high bits of every fencing token.
     pub epoch: u64,
-    /// How long from now an earlier leader, which may not know of its successor yet,
-    /// may continue to extend the workers' leases.
+    /// How long from now an earlier leader may continue to extend the workers' leases,
+    /// because it may not have learned of its successor yet. A lease that it granted may
+    /// be valid for this time plus the length of a lease.
     pub earlier_extends_ms: u64,
 }
 
@@ -133,19 +149,20 @@
     now_ms: u64,
     unix_ms: u64,
     started_ms: u64,
-    /// Counts the calls of [`Pool::poll_effects`]. A call that is made in a later turn
-    /// than the one in which an answer was handled was made after that answer.
+    /// Counts the calls of [`Pool::poll_effects`], to tell the order of calls and
+    /// answers: if an answer was handled in some turn, then every call that is made in a
+    /// later turn was made after that answer.
     turn: u64,
     jobs: BTreeMap<JobId, Job>,
     /// Cancellations of jobs that are not known yet.
     early_cancels: BTreeSet<JobId>,
     customers: Customers,
     workers: BTreeMap<WorkerId, Worker>,
-    /// Names of workers, indexed by slot.
+    /// Names of workers, indexed by [`WorkerIndex`].
     worker_names: Vec<WorkerId>,
-    /// Units with tasks to place, by priority, weight, deadline and arrival.
+    /// Steps with tasks to place, by priority, fair share, deadline and arrival.
     queue: BTreeMap<QueueKey, StepId>,
-    /// Units of occurrences that are not due yet, by due time.
+    /// Steps of occurrences that are not due yet, by due time.
     not_due: BTreeSet<(u64, StepId)>,
     arrivals: u64,
     commits: Commits,
@@ -164,13 +181,13 @@
     next_cycle_ms: u64,
 }
 
-/// The sort key of a unit in the queue.
+/// The sort key of a step in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     priority: u32,
-    /// Within one priority, jobs beyond their customer's weight come after the jobs of
-    /// customers that are within theirs.
-    beyond_weight: bool,
+    /// Whether the customer submitted more jobs than its weight allows. Within one
+    /// priority, such jobs come after all others.
+    over_fair_share: bool,
     /// The time after which the job is late.
     deadline_unix_ms: u64,
     arrival: u64,
@@ -182,8 +199,8 @@
 /// Minimum time between two scheduling cycles. Otherwise each of the hundreds of run ends
 /// and arrivals a second would cost a cycle over all workers.
 const CYCLE_INTERVAL_MS: u64 = 8;
-/// One millisecond is added to the interval for every this many workers, since the cost
-/// of a cycle grows with their number.
+/// Number of workers that adds one millisecond to the interval. The cost of a cycle grows
+/// with the number of workers.
 const WORKERS_PER_EXTRA_MS: usize = 200;
 
 impl Pool {
@@ -240,9 +257,9 @@
         let Some(name) = row.worker.clone().filter(|_| !row.done) else { return };
         let Some(job) = self.jobs.get(&job) else { return };
         let job_ended = job.outcome.is_some();
-        let Some(unit) = job.units.get(row.unit as usize) else { return };
-        let id = TaskId { step: unit.id, index: row.index };
-        let allocation = job.allocation(row.unit as usize);
+        let Some(step_state) = job.step_states.get(row.step_index as usize) else { return };
+        let id = TaskId { step: step_state.id, index: row.index };
+        let allocation = job.allocation(row.step_index as usize);
         let service = job.spec.queue.service.clone();
         if !self.workers.contains_key(&name) {
             let address = row.address.clone();
@@ -265,9 +282,10 @@
 
     /// Adds a worker that is not known yet.
     pub(crate) fn add_worker(&mut self, update: WorkerUpdate, listed: bool) {
-        let slot = Slot(self.worker_names.len());
+        let worker_index = WorkerIndex(self.worker_names.len());
         let name = update.worker.clone();
-        let worker = Worker { listed, ..Worker::new(slot, update, self.earlier_lease_expiry_ms()) };
+        let worker =
+            Worker { listed, ..Worker::new(worker_index, update, self.earlier_lease_expiry_ms()) };
         self.worker_names.push(name.clone());
         self.workers.insert(name, worker);
     }
@@ -350,11 +368,12 @@
         Some(JobView { state: job.state(), customer })
     }
 
-    /// The number of unfinished jobs of a queue of which no worker has reported that a
-    /// task began.
+    /// The number of jobs in a queue that have not ended and that wait for their first run:
+    /// no worker has confirmed the start of any of their tasks.
     pub fn pending(&self, queue: &str) -> usize {
-        let pending =
-            |job: &&Job| !job.begun && job.outcome.is_none() && job.spec.queue.name == queue;
+        let pending = |job: &&Job| {
+            !job.start_confirmed && job.outcome.is_none() && job.spec.queue.name == queue
+        };
         self.jobs.values().filter(pending).count()
     }
 
@@ -375,7 +394,7 @@
     /// Whether rows are being written or wait to be written. A daemon that stops may wait
     /// until this is `false`.
     pub fn is_committing(&self) -> bool {
-        self.commits.is_busy()
+        self.commits.has_pending_writes()
     }
 
     fn on_accepted(&mut self, id: JobId, spec: Arc<JobSpec>) {
@@ -395,8 +414,9 @@
     fn new_job(&mut self, id: JobId, spec: Arc<JobSpec>) -> Job {
         let customer = spec.customer.as_ref().map(|limits| self.customers.id_of(limits));
         let accepted_ms = spec.accepted_unix_ms;
-        let within_weight = customer.is_none_or(|id| self.customers.note_arrival(id, accepted_ms));
-        Job { beyond_weight: !within_weight, ..Job::new(id, spec, customer) }
+        let within_fair_share =
+            customer.is_none_or(|id| self.customers.take_arrival_token(id, accepted_ms));
+        Job { over_fair_share: !within_fair_share, ..Job::new(id, spec, customer) }
     }
 
     fn on_customers(&mut self, limits: Vec<CustomerLimits>) {
@@ -406,40 +426,42 @@
 
     fn admit(&mut self, job: Job) {
         let id = job.id;
-        let units = job.units.len();
+        let step_count = job.step_states.len();
         let job_ended = job.outcome.is_some();
         self.jobs.insert(id, job);
         if job_ended {
             return;
         }
-        for unit in 0..units {
-            self.enqueue_if_ready(id, unit);
+        for step_index in 0..step_count {
+            self.enqueue_if_ready(id, step_index);
         }
         self.cycle_due = true;
     }
 
-    /// Puts a unit into the queue if it has tasks to place and all steps that it depends
-    /// on are done. A unit that is not due yet is queued once it is due.
-    fn enqueue_if_ready(&mut self, id: JobId, unit: usize) {
+    /// Puts a step into the queue if it has tasks to place and all steps that it depends
+    /// on are done. A step that is not due yet is queued once it is due.
+    fn enqueue_if_ready(&mut self, id: JobId, step_index: usize) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        if job.outcome.is_some() || job.units[unit].queued || !job.is_ready(unit) {
+        if job.outcome.is_some() || job.step_states[step_index].queued || !job.is_ready(step_index)
+        {
             return;
         }
-        if job.units[unit].waiting_tasks().next().is_none() {
+        if job.step_states[step_index].waiting_tasks().next().is_none() {
             return;
         }
-        let step = job.units[unit].id;
+        let step = job.step_states[step_index].id;
         let due_unix_ms = job.spec.due_unix_ms(step.occurrence);
         if due_unix_ms > self.unix_ms {
             self.not_due.insert((due_unix_ms, step));
             return;
         }
-        job.units[unit].queued = true;
-        let late_after_unix_ms = job.spec.accepted_unix_ms.max(due_unix_ms) + job.spec.allowed_ms();
+        job.step_states[step_index].queued = true;
+        let job_deadline_unix_ms =
+            job.spec.accepted_unix_ms.max(due_unix_ms) + job.spec.allowed_ms();
         let key = QueueKey {
             priority: job.spec.queue.priority,
-            beyond_weight: job.beyond_weight,
-            deadline_unix_ms: late_after_unix_ms,
+            over_fair_share: job.over_fair_share,
+            deadline_unix_ms: job_deadline_unix_ms,
             arrival: self.arrivals,
         };
         self.arrivals += 1;
@@ -482,15 +504,15 @@
                 break;
             }
             self.not_due.pop_first();
-            let unit = self.jobs.get(&step.job).and_then(|job| job.unit_of(step));
-            if let Some(unit) = unit {
-                self.enqueue_if_ready(step.job, unit);
+            let step_index = self.jobs.get(&step.job).and_then(|job| job.step_index(step));
+            if let Some(step_index) = step_index {
+                self.enqueue_if_ready(step.job, step_index);
             }
         }
         self.sweep_workers();
         self.sweep_runs();
         self.sample_usage();
-        self.refuse_behind_stuck();
+        self.reject_stuck_submissions();
         self.remove_expired_jobs();
         self.cycle_due = true;
     }
@@ -528,10 +550,10 @@
 /// The tasks that may run on a worker and are not done.
 fn placed_tasks(job: &Job) -> Vec<TaskId> {
     let mut tasks = Vec::new();
-    for unit in &job.units {
-        for (index, task) in unit.tasks.iter().enumerate() {
+    for step_state in &job.step_states {
+        for (index, task) in step_state.tasks.iter().enumerate() {
             if task.worker.is_some() && task.phase != Phase::Done {
-                tasks.push(TaskId { step: unit.id, index: index as u32 });
+                tasks.push(TaskId { step: step_state.id, index: index as u32 });
             }
         }
     }
--- a/crates/pool/src/pace.rs
+++ b/crates/pool/src/pace.rs
@@ -1,5 +1,8 @@
 //! Throttling of best-effort tasks in favor of latency-sensitive ones.
 //!
+//! The pace of a run is the limit on its speed, in percent of its full speed. (The speed
+//! that a worker actually reaches is measured in [`crate::speed`].)
+//!
 //! Best-effort tasks ([`StepSpec::fills`](crate::StepSpec::fills)) use processor time that
 //! others leave. They slow down tasks that serve users on the same worker, by an amount
 //! that no specification states; only the response times that the worker reports show it.
@@ -41,8 +44,8 @@
             let Some(job) = self.jobs.get(&id.step.job).filter(|job| job.outcome.is_none()) else {
                 continue;
             };
-            let Some(unit) = job.unit_of(id.step) else { continue };
-            let step = job.step(unit);
+            let Some(step_index) = job.step_index(id.step) else { continue };
+            let step = job.step_spec(step_index);
             if step.fills {
                 best_effort.push((id, active.run));
             }
--- a/crates/pool/src/record.rs
+++ b/crates/pool/src/record.rs
@@ -71,8 +71,9 @@
 /// The durable state of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TaskProgress {
-    /// The index of the task's step among the steps of all occurrences.
-    pub unit: u32,
+    /// The index of the task's step in the list of the steps of the first occurrence, then
+    /// those of the next one, and so on.
+    pub step_index: u32,
     /// The index of the task in its step.
     pub index: u32,
     /// The newest run that may have been sent.
@@ -108,7 +109,7 @@
     tasks: Vec<CompactTask>,
 }
 
-/// Unit, index, run, failures, newest failed run, place, checkpoint.
+/// Index of the step, index of the task, run, failures, newest failed run, place, checkpoint.
 type CompactTask = (u32, u32, u32, u32, u32, Place, String);
 
 /// The index of the task's worker in the list, [`NOWHERE`] or [`DONE`].
@@ -133,8 +134,16 @@
                 });
                 place = worker_index as Place;
             }
-            let (unit, index, run) = (task.unit, task.index, task.run);
-            tasks.push((unit, index, run, task.failures, task.failed_run, place, task.checkpoint));
+            let (step_index, index, run) = (task.step_index, task.index, task.run);
+            tasks.push((
+                step_index,
+                index,
+                run,
+                task.failures,
+                task.failed_run,
+                place,
+                task.checkpoint,
+            ));
         }
         let Progress { outcome, finished_unix_ms, .. } = progress;
         Self { outcome, finished_unix_ms, workers, tasks }
@@ -144,10 +153,10 @@
 impl From<Compact> for Progress {
     fn from(compact: Compact) -> Self {
         let mut tasks = Vec::with_capacity(compact.tasks.len());
-        for (unit, index, run, failures, failed_run, place, checkpoint) in compact.tasks {
+        for (step_index, index, run, failures, failed_run, place, checkpoint) in compact.tasks {
             let done = place == DONE;
             let task = TaskProgress {
-                unit,
+                step_index,
                 index,
                 run,
                 failures,
--- a/crates/pool/src/request.rs
+++ b/crates/pool/src/request.rs
@@ -7,13 +7,13 @@
 
 use crate::Pool;
 use crate::advise::SUFFICIENT_PLACES_FACTOR;
-use crate::choose::Cycle;
-use crate::choose::WorkerView;
-use crate::choose::places_in;
+use crate::candidates::Cycle;
+use crate::candidates::WorkerView;
+use crate::candidates::places_in;
 use crate::id::StepId;
 use crate::spec::AdviceSpec;
 use crate::spec::StepSpec;
-use crate::worker::Slot;
+use crate::worker::WorkerIndex;
 
 /// A step that was granted enough workers queries about others only if at least this many
 /// of them have free capacity.
@@ -21,15 +21,15 @@
 /// The selection of further workers for a step is repeated after this. It examines every
 /// worker for each waiting step.
 const SELECTION_INTERVAL_MS: u64 = 150;
-/// Ratio of the free places that a gang's queries are expected to grant to the places that
-/// it still needs: which workers are granted varies, and some of the free capacity is
-/// allocated before the answer arrives.
+/// A gang queries about so many workers that the free places that are expected to be granted
+/// are this many times the places that it still needs. Which workers are granted varies, and
+/// some of the free capacity is allocated before the answer arrives.
 const FREE_FACTOR: f64 = 4.0;
 
 impl Pool {
     /// Requests new tickets for all workers that were granted to a step, if one of them has
-    /// free capacity. Returns whether the step has to wait for tickets rather than query about
-    /// further workers.
+    /// free capacity. Returns whether the step has to wait for the answer; if not, it may
+    /// query about further workers.
     ///
     /// The advisor takes nearly as long for one worker as for all of them, and with valid
     /// tickets any capacity that becomes free is used at once. Requesting a ticket only once
@@ -37,20 +37,20 @@
     pub(crate) fn renew_tickets(
         &mut self,
         step: StepId,
-        unit: usize,
+        step_index: usize,
         spec: &StepSpec,
         cycle: &Cycle,
     ) -> bool {
         let Some(job) = self.jobs.get(&step.job) else { return false };
-        let advice = &job.units[unit].advice;
+        let advice = &job.step_states[step_index].advice;
         if advice.queries > 0 || advice.pause_until_ms > self.now_ms {
             return true;
         }
         let need = spec.worker_demand();
         let mut names = Vec::new();
         let mut has_capacity = false;
-        for eligible in self.eligible_workers(step, unit, spec, cycle) {
-            let view = &cycle.workers[eligible.index];
+        for eligible in self.eligible_workers(step, step_index, spec, cycle) {
+            let view = &cycle.workers[eligible.view_index];
             has_capacity |= view.free.holds(&need);
             names.push(self.name_of(view).clone());
         }
@@ -65,16 +65,18 @@
     /// Queries the advisor about open workers that it was not queried about yet, those with
     /// the most free places first.
     ///
-    /// A gang names as many workers as it takes to be granted places for all of its tasks
-    /// at once, as far as places are free now: the few workers that would be enough in an
-    /// empty pool have no free capacity in a busy one. It queries again while other workers
-    /// have such capacity. A step of independent tasks queries again only if several workers
-    /// have some, since each query costs the advisor's decision time, however few workers it
+    /// A gang needs free places for all of its tasks at once, so its queries name as many
+    /// workers as are expected to grant these. Only places that are free now count: the few
+    /// workers that would be enough in an empty pool have no free capacity in a busy one. A
+    /// gang queries again while workers that it has not queried about have free capacity.
+    ///
+    /// A step of independent tasks queries again only if several such workers have free
+    /// capacity, since each query costs the advisor's decision time, however few workers it
     /// names.
     pub(crate) fn query_more_workers(
         &mut self,
         step: StepId,
-        unit: usize,
+        step_index: usize,
         spec: &StepSpec,
         rule: AdviceSpec,
         priority: u32,
@@ -82,41 +84,43 @@
     ) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&step.job) else { return };
-        let advice = &mut job.units[unit].advice;
+        let advice = &mut job.step_states[step_index].advice;
         if advice.queries > 0 || advice.pause_until_ms.max(advice.retry_at_ms) > now_ms {
             return;
         }
         advice.retry_at_ms = now_ms + SELECTION_INTERVAL_MS;
         let Some(job) = self.jobs.get(&step.job) else { return };
         let Some(service) = cycle.service_index(&job.spec.queue.service) else { return };
-        let advice = &job.units[unit].advice;
+        let advice = &job.step_states[step_index].advice;
         let need = spec.worker_demand();
         let places_of = |view: &WorkerView| places_in(&view.capacity, &need);
-        let granted_view = |slot: &Slot| cycle.index_of(*slot).map(|index| &cycle.workers[index]);
+        let granted_view = |worker_index: &WorkerIndex| {
+            cycle.view_index_of(*worker_index).map(|view_index| &cycle.workers[view_index])
+        };
         let places: u64 = advice.granted.keys().filter_map(granted_view).map(places_of).sum();
         let has_enough = places >= u64::from(spec.tasks) * SUFFICIENT_PLACES_FACTOR;
         let is_first_query = advice.queried.is_empty();
         let include_full = is_first_query || !has_enough;
         let free_places = |view: &WorkerView| {
-            if view.admits(step, priority) { places_in(&view.free, &need) } else { 0 }
+            if view.reservation_permits(step, priority) { places_in(&view.free, &need) } else { 0 }
         };
         // Ordered by free places, the most first.
         let mut candidates: Vec<(Reverse<u64>, u64, usize)> = Vec::new();
-        for (index, view) in cycle.workers.iter().enumerate() {
+        for (view_index, view) in cycle.workers.iter().enumerate() {
             if !view.capacity.holds(&need) || !self.is_eligible(service, spec, view) {
                 continue;
             }
             let free = free_places(view);
-            if (free == 0 && !include_full) || advice.queried.contains(&view.slot) {
+            if (free == 0 && !include_full) || advice.queried.contains(&view.worker_index) {
                 continue;
             }
-            candidates.push((Reverse(free), tie_break(step, view.slot), index));
+            candidates.push((Reverse(free), tie_break(step, view.worker_index), view_index));
         }
         if candidates.is_empty() || (has_enough && candidates.len() < FURTHER_WORKERS_MIN) {
             return;
         }
         let places: u64 =
-            candidates.iter().map(|(.., index)| places_of(&cycle.workers[*index])).sum();
+            candidates.iter().map(|(.., view_index)| places_of(&cycle.workers[*view_index])).sum();
         let mean_places = places / candidates.len() as u64;
         let mut workers_max =
             self.query_workers_max(&job.spec.queue, u64::from(spec.tasks), mean_places);
@@ -142,8 +146,9 @@
             }
         }
         let selected = candidates.into_iter().take(workers_max);
-        let names: Vec<WorkerId> =
-            selected.map(|(.., index)| self.name_of(&cycle.workers[index]).clone()).collect();
+        let names: Vec<WorkerId> = selected
+            .map(|(.., view_index)| self.name_of(&cycle.workers[view_index]).clone())
+            .collect();
         if self.may_query(rule, names.len()) {
             self.query_advisor(step, &names);
         }
@@ -166,6 +171,6 @@
 
 /// Orders workers with equally many free places, for each step differently, so that steps
 /// spread over the workers.
-fn tie_break(step: StepId, slot: Slot) -> u64 {
-    xxh3_64_with_seed(&slot.0.to_le_bytes(), step.job.0 ^ u64::from(step.step))
+fn tie_break(step: StepId, worker_index: WorkerIndex) -> u64 {
+    xxh3_64_with_seed(&worker_index.0.to_le_bytes(), step.job.0 ^ u64::from(step.step))
 }
--- a/crates/pool/src/speed.rs
+++ b/crates/pool/src/speed.rs
@@ -14,14 +14,15 @@
 /// Run time from which on a task is taken into account. In less time its progress, which
 /// is reported in percent, is too coarse.
 const TASK_TIME_MIN_MS: u64 = 300;
-/// Total run time that the tasks of a worker need for a verdict. A single task may take
-/// three times its expected duration.
+/// Total run time of a worker's tasks from which on its speed is judged. A single task may
+/// take three times its expected duration.
 const TOTAL_TIME_MIN_MS: u64 = 900;
 /// Percentage of the expected speed below which a worker is slow, for one, two, and three
 /// or more tasks taken into account. Estimates are off by half and durations vary by half,
 /// so one task proves little; the mean of three on a healthy worker stays above the limit.
 const SLOW_PERCENT: [u64; 3] = [15, 22, 30];
-/// How long a slow worker gets no new tasks. The verdict is renewed with each answer.
+/// How long a slow worker gets no new tasks. The time starts again with each answer to a
+/// hold that shows that the worker is slow.
 const SLOW_QUARANTINE_MS: u64 = 1_200;
 /// How much sooner a task must be expected to finish elsewhere to be moved. This covers
 /// the time for the stop and the new start.
@@ -36,11 +37,13 @@
         let mut tasks = Vec::new();
         for id in worker.tasks.keys() {
             let Some(job) = self.jobs.get(&id.step.job) else { continue };
-            let Some(unit) = job.unit_of(id.step) else { continue };
-            let step = job.step(unit);
-            let Some(task) = job.units[unit].tasks.get(id.index as usize) else { continue };
-            let elapsed_ms = now_ms.saturating_sub(task.began_ms);
-            let running = matches!(task.phase, Phase::Running { .. }) && task.began_ms > 0;
+            let Some(step_index) = job.step_index(id.step) else { continue };
+            let step = job.step_spec(step_index);
+            let Some(task) = job.step_states[step_index].tasks.get(id.index as usize) else {
+                continue;
+            };
+            let elapsed_ms = now_ms.saturating_sub(task.running_since_ms);
+            let running = matches!(task.phase, Phase::Running { .. }) && task.running_since_ms > 0;
             let not_comparable = step.long_running || step.gang || step.fills;
             if !running || not_comparable || elapsed_ms < TASK_TIME_MIN_MS {
                 continue;
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -1,4 +1,7 @@
 //! The scheduler's view of one worker: its capacity, lease and reported runs.
+//!
+//! An incarnation of a worker is one start of its process. A worker that has restarted has
+//! lost all runs of its earlier incarnations.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,8 +17,8 @@
 /// Margin before a lease counts as expired, for the time that the worker takes to kill its
 /// runs.
 const LEASE_EXPIRY_MARGIN_MS: u64 = 300;
-/// Age of the last answer above which a worker gets no new tasks. Two holds with their full
-/// wait fit into it.
+/// Age of the last answer above which a worker gets no new tasks. Two holds that both wait
+/// as long as they may fit into it.
 const ANSWER_AGE_MAX_MS: u64 = 2_500;
 /// Consecutive failed runs after which a worker is put into quarantine. One run in twenty
 /// fails through its own fault, so two in a row are probably the worker's fault.
@@ -26,9 +29,9 @@
 /// times this value.
 const QUARANTINE_MS: u64 = 2_500;
 
-/// The index of a worker in its pool; never reused for another worker.
+/// A dense index of the workers of a pool; never reused for another worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) struct Slot(pub usize);
+pub(crate) struct WorkerIndex(pub usize);
 
 /// The resources that a run takes.
 #[derive(Clone, Copy, Debug)]
@@ -43,19 +46,22 @@
 /// A worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
-    pub slot: Slot,
+    pub index: WorkerIndex,
     pub info: WorkerUpdate,
+    /// Whether the list of workers has an entry for the worker.
     pub listed: bool,
     /// Counts the restarts seen. It is part of the fencing token, so that requests meant for
     /// an earlier incarnation are refused.
-    pub incarnations: u64,
-    /// Whether a hold under the current token has been answered.
+    pub restarts_seen: u64,
+    /// Whether the worker has answered a hold under the current token, so that it refuses
+    /// calls with a lower one. Nothing is started on a worker before that.
     pub held: bool,
     /// The turn in which the pending hold was sent; `None` if none is pending.
     pub hold_turn: Option<u64>,
     pub hold_sent_ms: u64,
     pub next_hold_ms: u64,
-    /// Whether to send a hold without wait, to learn whether a stopped run is gone.
+    /// Whether to send a probe: a hold that is sent and answered without delay, to learn
+    /// whether a stopped run is gone.
     pub probe_due: bool,
     /// The turn in which the current incarnation was discovered; 0 for the first one.
     pub incarnation_turn: u64,
@@ -73,8 +79,8 @@
     pub non_durable_ends: BTreeSet<u64>,
     /// Tasks placed on this worker.
     pub tasks: BTreeMap<TaskId, Allocation>,
-    /// Allocations of runs that the worker reported and the scheduler does not want.
-    pub unwanted_runs: Vec<Allocation>,
+    /// The resources of runs that the worker reported and the scheduler does not want.
+    pub unwanted_allocations: Vec<Allocation>,
     pub used: Resources,
     /// What the runs of each customer count towards its cap.
     pub by_customer: BTreeMap<CustomerId, Resources>,
@@ -89,10 +95,12 @@
     pub answered_ms: u64,
     /// Consecutive calls without an answer.
     pub unanswered_calls: u32,
-    /// The pace of the best-effort tasks on this worker, in percent.
+    /// The pace (speed limit) of the best-effort tasks on this worker, in percent of their
+    /// full speed.
     pub pace_percent: u32,
     pub pace_changed_ms: u64,
-    /// Whether another worker or incarnation answered the latest call to its address.
+    /// Whether another worker or incarnation answered the latest call to its address, so that
+    /// all runs of this incarnation are lost.
     pub lost: bool,
     /// Whether the latest connection attempt was refused. That says nothing about the runs
     /// on the worker: a firewall refuses connections just like a host without the process.
@@ -100,12 +108,12 @@
 }
 
 impl Worker {
-    pub fn new(slot: Slot, update: WorkerUpdate, earlier_lease_expiry_ms: u64) -> Self {
+    pub fn new(index: WorkerIndex, update: WorkerUpdate, earlier_lease_expiry_ms: u64) -> Self {
         Self {
-            slot,
+            index,
             info: update,
             listed: true,
-            incarnations: 0,
+            restarts_seen: 0,
             held: false,
             hold_turn: None,
             hold_sent_ms: 0,
@@ -118,7 +126,7 @@
             last_processed_end: 0,
             non_durable_ends: BTreeSet::new(),
             tasks: BTreeMap::new(),
-            unwanted_runs: Vec::new(),
+            unwanted_allocations: Vec::new(),
             used: Resources::ZERO,
             by_customer: BTreeMap::new(),
             failures: 0,
@@ -140,7 +148,7 @@
         self.incarnation_turn = turn;
         self.earlier_lease_expiry_ms = earlier_lease_expiry_ms;
         self.info.incarnation = incarnation;
-        self.incarnations += 1;
+        self.restarts_seen += 1;
         self.lost = false;
         self.held = false;
         self.hold_turn = None;
@@ -149,7 +157,7 @@
         self.lease_end_max = 0;
         self.last_processed_end = 0;
         self.non_durable_ends.clear();
-        self.unwanted_runs.clear();
+        self.unwanted_allocations.clear();
         self.failures = 0;
         self.quarantine_until_ms = 0;
         self.pace_percent = FULL_PACE;
@@ -161,9 +169,10 @@
         self.is_reachable(now_ms) && self.quarantine_until_ms <= now_ms
     }
 
-    /// Whether the worker would be open but for a quarantine after failed runs.
-    pub fn is_only_suspect(&self, now_ms: u64) -> bool {
-        self.is_reachable(now_ms) && self.quarantine_until_ms > now_ms && self.is_suspect()
+    /// Whether the worker may get no new tasks for the only reason that it is in quarantine
+    /// and a run has failed or stalled here.
+    pub fn is_quarantined_for_failures(&self, now_ms: u64) -> bool {
+        self.is_reachable(now_ms) && self.quarantine_until_ms > now_ms && self.has_recent_failures()
     }
 
     fn is_reachable(&self, now_ms: u64) -> bool {
@@ -175,7 +184,7 @@
     }
 
     /// Whether a run has failed or stalled here since the last successful one.
-    pub fn is_suspect(&self) -> bool {
+    pub fn has_recent_failures(&self) -> bool {
         self.failures > 0
     }
 
@@ -202,7 +211,7 @@
     pub fn recompute_usage(&mut self) {
         let mut used = Resources::ZERO;
         let mut by_customer: BTreeMap<CustomerId, Resources> = BTreeMap::new();
-        for allocation in self.tasks.values().chain(&self.unwanted_runs) {
+        for allocation in self.tasks.values().chain(&self.unwanted_allocations) {
             used = used.plus(&allocation.worker_demand);
             if let Some(customer) = allocation.customer {
                 let sum = by_customer.entry(customer).or_default();
@@ -242,7 +251,7 @@
         self.info.labels.get(1..)?.last().map(String::as_str)
     }
 
-    /// Records a successful run, which ends the suspicion against the worker.
+    /// Records a successful run: the worker is no longer avoided for earlier failures.
     pub fn record_success(&mut self) {
         self.failures = 0;
         self.quarantines = 0;
