--- a/crates/pool/src/stalled.rs
+++ b/crates/pool/src/stalled.rs
@@ -97,7 +97,8 @@
         }
         let Some(name) = task.worker.clone() else { return };
         let Some(worker) = self.workers.get_mut(&name) else { return };
-        // Only later answers of the worker prove that the task has stalled and not the link.
+        // If the worker has not answered since, the connection to it may have failed, and
+        // nothing is known about the task.
         if worker.answered_ms < task.last_progress_ms.max(task.recorded_ms) + STALL_MS {
             return;
         }
