--- a/crates/node/src/elector.rs
+++ b/crates/node/src/elector.rs
@@ -21,7 +21,7 @@
 use crate::health::StoreHealth;
 use crate::leader::Leader;
 use crate::leader_view::Liveness;
-use crate::message::Query;
+use crate::message::SchedulerRequest;
 use crate::platform::Platform;
 use crate::platform::Row;
 use crate::platform::StoreError;
@@ -58,7 +58,7 @@
     /// Becomes true when the daemon stops.
     pub stop: tokio::sync::watch::Receiver<bool>,
     /// Publishes the scheduler's query channel while this daemon leads, `None` otherwise.
-    pub leading: tokio::sync::watch::Sender<Option<mpsc::Sender<Query>>>,
+    pub leading: tokio::sync::watch::Sender<Option<mpsc::Sender<SchedulerRequest>>>,
 }
 
 impl<P: Platform> LeaderElector<P> {
--- a/crates/node/src/gateway.rs
+++ b/crates/node/src/gateway.rs
@@ -37,7 +37,7 @@
 use crate::manifest::CurrentManifest;
 use crate::manifest::Manifest;
 use crate::manifest::RelayedProof;
-use crate::message::Query;
+use crate::message::SchedulerRequest;
 use crate::peers::NodeCall;
 use crate::peers::NodeReply;
 use crate::platform::Platform;
@@ -131,7 +131,7 @@
 
     /// Records the query channel of the scheduler on this daemon; `None` if this daemon no
     /// longer leads.
-    pub(crate) fn set_local_leader(&self, queries: Option<mpsc::Sender<Query>>) {
+    pub(crate) fn set_local_leader(&self, queries: Option<mpsc::Sender<SchedulerRequest>>) {
         self.leader.send_modify(|view| view.set_local(queries));
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// Whether the store responds to this daemon.
-    pub fn is_store_up(&self) -> bool {
+    pub fn reaches_store(&self) -> bool {
         !self.health.is_down()
     }
 
@@ -302,7 +302,7 @@
         let call = NodeCall::Submit { job, row };
         let address = match self.route() {
             Route::None => return LeaderReply::NotSent,
-            Route::Local(_) if !self.is_store_up() => return LeaderReply::NotSent,
+            Route::Local(_) if !self.reaches_store() => return LeaderReply::NotSent,
             Route::Local(queries) => {
                 let reply = timeout_at(deadline, call_local(&queries, call)).await;
                 return match reply {
@@ -495,9 +495,14 @@
             let daemons = self.member_count.load(Ordering::Relaxed);
             let fit = self.candidate_count.load(Ordering::Relaxed);
             let manifest = self.manifest.relayed_proof(steady_ms());
-            return NodeReply::Alive { reaches_store: self.is_store_up(), daemons, fit, manifest };
+            return NodeReply::Alive {
+                reaches_store: self.reaches_store(),
+                daemons,
+                fit,
+                manifest,
+            };
         }
-        if matches!(call, NodeCall::Submit { .. }) && !self.is_store_up() {
+        if matches!(call, NodeCall::Submit { .. }) && !self.reaches_store() {
             // The calling daemon may reach the store itself.
             return NodeReply::NotScheduler;
         }
@@ -516,29 +521,29 @@
     if view.customer.as_ref() == caller { JobLookup::State(view.state) } else { JobLookup::NoJob }
 }
 
-async fn call_local(queries: &mpsc::Sender<Query>, call: NodeCall) -> Option<NodeReply> {
+async fn call_local(queries: &mpsc::Sender<SchedulerRequest>, call: NodeCall) -> Option<NodeReply> {
     match call {
         NodeCall::State(job) => {
             let (reply_sender, reply) = oneshot::channel();
-            queries.send(Query::State(job, reply_sender)).await.ok()?;
+            queries.send(SchedulerRequest::State(job, reply_sender)).await.ok()?;
             reply.await.ok().map(NodeReply::State)
         }
         NodeCall::Pending(queue) => {
             let (reply_sender, reply) = oneshot::channel();
-            queries.send(Query::Pending(queue, reply_sender)).await.ok()?;
+            queries.send(SchedulerRequest::Pending(queue, reply_sender)).await.ok()?;
             reply.await.ok().map(NodeReply::Pending)
         }
         NodeCall::Submit { job, row } => {
             let (reply_sender, reply) = oneshot::channel();
-            queries.send(Query::Submit(job, row, reply_sender)).await.ok()?;
+            queries.send(SchedulerRequest::Submit(job, row, reply_sender)).await.ok()?;
             reply.await.ok().map(NodeReply::Submitted)
         }
         NodeCall::Accepted { job, row } => {
-            queries.send(Query::Accepted(job, row)).await.ok()?;
+            queries.send(SchedulerRequest::Accepted(job, row)).await.ok()?;
             Some(NodeReply::Noted)
         }
         NodeCall::Cancelled(job) => {
-            queries.send(Query::Cancelled(job)).await.ok()?;
+            queries.send(SchedulerRequest::Cancelled(job)).await.ok()?;
             Some(NodeReply::Noted)
         }
         NodeCall::Cancel { .. }
--- a/crates/node/src/leader.rs
+++ b/crates/node/src/leader.rs
@@ -45,7 +45,7 @@
 use crate::manifest::Manifest;
 use crate::members::Member;
 use crate::message::Message;
-use crate::message::Query;
+use crate::message::SchedulerRequest;
 use crate::peers::NodeCall;
 use crate::platform::Platform;
 use crate::platform::Table;
@@ -85,7 +85,7 @@
     /// What other daemons know of this one.
     pub member: Member,
     /// Queries of this daemon's callers and of other daemons.
-    pub queries: mpsc::Receiver<Query>,
+    pub queries: mpsc::Receiver<SchedulerRequest>,
     /// Becomes `true` when the daemon stops.
     pub stop: tokio::sync::watch::Receiver<bool>,
 }
@@ -129,7 +129,7 @@
             let first_message = tokio::select! {
                 biased;
                 first_message = inbox.recv() => first_message,
-                Some(query) = self.queries.recv() => Some(Message::Query(query)),
+                Some(query) = self.queries.recv() => Some(Message::Request(query)),
                 () = tokio::time::sleep(Duration::from_millis(wait_ms)) => None,
             };
             let cycle_started = Instant::now();
@@ -387,7 +387,7 @@
                 count_event(&event);
                 pool.handle(steady_ms(), unix_ms(), event);
             }
-            Message::Query(query) => answer_query(pool, submissions, query, has_fresh_lease),
+            Message::Request(query) => answer_query(pool, submissions, query, has_fresh_lease),
         }
     }
     true
@@ -403,15 +403,15 @@
 fn answer_query(
     pool: &mut Pool,
     submissions: &mut Submissions,
-    query: Query,
+    query: SchedulerRequest,
     has_fresh_lease: bool,
 ) {
     let is_delivered = match query {
-        Query::Submit(job, row, reply_sender) => {
+        SchedulerRequest::Submit(job, row, reply_sender) => {
             submissions.submit(pool, job, &row, reply_sender);
             true
         }
-        Query::Accepted(job, row) => {
+        SchedulerRequest::Accepted(job, row) => {
             match serde_json::from_slice(&row) {
                 Ok(spec) => {
                     let event = Event::Accepted { job, spec: Arc::new(spec) };
@@ -426,17 +426,19 @@
             }
             true
         }
-        Query::Cancelled(job) => {
+        SchedulerRequest::Cancelled(job) => {
             pool.handle(steady_ms(), unix_ms(), Event::Cancelled { job });
             true
         }
-        Query::State(job, reply_sender) => reply_sender.send(pool.view(job)).is_ok(),
-        Query::Pending(_, _) if !has_fresh_lease => true,
-        Query::Pending(queue, reply_sender) => {
+        SchedulerRequest::State(job, reply_sender) => reply_sender.send(pool.view(job)).is_ok(),
+        SchedulerRequest::Pending(_, _) if !has_fresh_lease => true,
+        SchedulerRequest::Pending(queue, reply_sender) => {
             reply_sender.send(pool.pending(&queue) as u64).is_ok()
         }
-        Query::Dump(reply_sender) => reply_sender.send(pool.dump()).is_ok(),
-        Query::Explain(job, reply_sender) => reply_sender.send(pool.explain(job)).is_ok(),
+        SchedulerRequest::Dump(reply_sender) => reply_sender.send(pool.dump()).is_ok(),
+        SchedulerRequest::Explain(job, reply_sender) => {
+            reply_sender.send(pool.explain(job)).is_ok()
+        }
     };
     if !is_delivered {
         tracing::debug!("the caller of a query left before the reply");
--- a/crates/node/src/leader_view.rs
+++ b/crates/node/src/leader_view.rs
@@ -15,7 +15,7 @@
 
 use crate::clock::steady_ms;
 use crate::gateway::Gateway;
-use crate::message::Query;
+use crate::message::SchedulerRequest;
 use crate::peers::NodeCall;
 use crate::peers::NodeReply;
 use crate::platform::Platform;
@@ -42,7 +42,7 @@
     /// No leader is known, or it is gone.
     None,
     /// This daemon is the leader.
-    Local(mpsc::Sender<Query>),
+    Local(mpsc::Sender<SchedulerRequest>),
     /// The leader is the daemon at this address.
     Remote(String),
 }
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeaderView {
     /// The scheduler's query channel, while this daemon leads.
-    queries: Option<mpsc::Sender<Query>>,
+    queries: Option<mpsc::Sender<SchedulerRequest>>,
     /// The highest epoch that was seen.
     epoch: u64,
     /// Address of that epoch's leader; `None` if it released the lease.
@@ -88,7 +88,7 @@
     }
 
     /// Sets the scheduler's query channel while this daemon leads, `None` afterwards.
-    pub fn set_local(&mut self, queries: Option<mpsc::Sender<Query>>) {
+    pub fn set_local(&mut self, queries: Option<mpsc::Sender<SchedulerRequest>>) {
         self.queries = queries;
     }
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -60,7 +60,7 @@
 pub use crate::manifest::RelayedProof;
 pub use crate::members::Member;
 pub use crate::message::Message;
-pub use crate::message::Query;
+pub use crate::message::SchedulerRequest;
 pub use crate::platform::Confirmation;
 pub use crate::platform::Platform;
 pub use crate::platform::Row;
@@ -113,7 +113,7 @@
     manifest: Arc<CurrentManifest>,
     stop: tokio::sync::watch::Sender<bool>,
     stopped: tokio::sync::watch::Receiver<bool>,
-    leading: tokio::sync::watch::Receiver<Option<tokio::sync::mpsc::Sender<Query>>>,
+    leading: tokio::sync::watch::Receiver<Option<tokio::sync::mpsc::Sender<SchedulerRequest>>>,
 }
 
 impl<P: Platform> Node<P> {
@@ -184,7 +184,7 @@
     }
 
     /// The scheduler's query channel; `None` while another daemon leads.
-    pub fn scheduler(&self) -> Option<tokio::sync::mpsc::Sender<Query>> {
+    pub fn scheduler(&self) -> Option<tokio::sync::mpsc::Sender<SchedulerRequest>> {
         self.leading.borrow().clone()
     }
 
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -9,7 +9,7 @@
 
 /// A query to the scheduler, or a notification without a reply.
 #[derive(Debug)]
-pub enum Query {
+pub enum SchedulerRequest {
     /// Asks for a job's state; the reply is `None` if the scheduler does not know the job.
     State(JobId, oneshot::Sender<Option<JobView>>),
     /// Asks how many jobs of a queue have not started.
@@ -32,7 +32,7 @@
     /// An event that changes the pool's state.
     Event(Event),
     /// A query from a caller's daemon.
-    Query(Query),
+    Request(SchedulerRequest),
     /// This daemon no longer holds the leader lease.
     LeadershipLost,
 }
--- a/crates/node/tests/daemons.rs
+++ b/crates/node/tests/daemons.rs
@@ -7,7 +7,7 @@
 
 use stoatwell_node::JobLookup;
 use stoatwell_node::Platform;
-use stoatwell_node::Query;
+use stoatwell_node::SchedulerRequest;
 use stoatwell_node::StoreError;
 use stoatwell_node::Table;
 use stoatwell_node::Transaction;
@@ -145,7 +145,10 @@
     wait_until("the next leader", 3_000, || second.scheduler().is_some()).await;
     let (reply_sender, reply) = tokio::sync::oneshot::channel();
     let queries = second.scheduler().expect("it leads");
-    queries.send(Query::State(JobId(7), reply_sender)).await.expect("the scheduler is running");
+    queries
+        .send(SchedulerRequest::State(JobId(7), reply_sender))
+        .await
+        .expect("the scheduler is running");
     assert_eq!(reply.await.expect("a reply"), Some(job_view(JobState::Completed)));
 }
 
@@ -185,9 +188,9 @@
     let other = start("b", &store).await;
     store.set_behavior(StoreBehavior::Unresponsive);
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    assert!(!node.gateway().is_store_up());
+    assert!(!node.gateway().reaches_store());
     store.set_behavior(StoreBehavior::Normal);
-    wait_until("the recovery", 250, || node.gateway().is_store_up()).await;
+    wait_until("the recovery", 250, || node.gateway().reaches_store()).await;
     let began = Instant::now();
     assert_eq!(node.gateway().submit(JobId(8), &job(), deadline_in(2_000)).await, Accepted::Yes);
     assert!(began.elapsed() < Duration::from_millis(200), "{:?}", began.elapsed());
