--- a/crates/node/src/accept.rs
+++ b/crates/node/src/accept.rs
@@ -68,20 +68,20 @@
 /// Queues requests and commits them in batches.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
-    shards: Vec<mpsc::Sender<PendingRequest>>,
+    writers: Vec<mpsc::Sender<PendingRequest>>,
     health: Arc<StoreHealth>,
 }
 
 impl Acceptor {
     /// Spawns one writer task per shard.
     pub fn start(platform: Arc<impl Platform>, health: Arc<StoreHealth>) -> Self {
-        let mut shards = Vec::with_capacity(PARTITIONS);
+        let mut writers = Vec::with_capacity(PARTITIONS);
         for _ in 0..PARTITIONS {
             let (requests, queue) = mpsc::channel(QUEUE_MAX);
             tokio::spawn(run_writer(Arc::clone(&platform), Arc::clone(&health), queue));
-            shards.push(requests);
+            writers.push(requests);
         }
-        Self { shards, health }
+        Self { writers, health }
     }
 
     /// Makes one request durable. Returns [`Accepted::No`] without a write if the store is
@@ -94,7 +94,7 @@
         let (reply, replied) = oneshot::channel();
         let pending = PendingRequest { request, reply, deadline, in_doubt: false, refusals: 0 };
         let requests = match shard(Table::Jobs, &pending.request.job().to_string()) {
-            Shard::Jobs(index) => self.shards.get(index),
+            Shard::Jobs(index) => self.writers.get(index),
             Shard::Control => None,
         };
         if requests.is_none_or(|requests| requests.try_send(pending).is_err()) {
@@ -155,12 +155,12 @@
                 }
             }
             Err(StoreError::NoAnswer) => {
-                give_up_in_doubt(&mut batch);
+                handle_no_answer(&mut batch);
                 tracing::warn!(items = batch.len(), "store did not respond to a write; retrying");
                 tokio::time::sleep(IN_DOUBT_RETRY_DELAY).await;
             }
             Err(StoreError::Refused | StoreError::HistoryLost) => {
-                record_refusals(&mut batch);
+                handle_refusal(&mut batch);
                 tokio::time::sleep(REFUSED_RETRY_DELAY).await;
             }
         }
@@ -247,7 +247,7 @@
 
 /// Gives up on requests whose write got no response a second time. Their callers are told
 /// that the outcome is unknown while they still have time to retry at another daemon.
-fn give_up_in_doubt(batch: &mut Vec<PendingRequest>) {
+fn handle_no_answer(batch: &mut Vec<PendingRequest>) {
     let (unanswered_twice, unanswered_once): (Vec<PendingRequest>, Vec<PendingRequest>) =
         batch.drain(..).partition(|pending| pending.in_doubt);
     *batch = unanswered_once;
@@ -259,7 +259,7 @@
     }
 }
 
-fn record_refusals(batch: &mut Vec<PendingRequest>) {
+fn handle_refusal(batch: &mut Vec<PendingRequest>) {
     for pending in batch.iter_mut() {
         pending.refusals += 1;
     }
--- a/crates/node/src/advisor_dispatcher.rs
+++ b/crates/node/src/advisor_dispatcher.rs
@@ -22,9 +22,9 @@
 use tokio::sync::oneshot;
 
 use crate::clock::steady_ms;
-use crate::members::Member;
-use crate::peers::NodeCall;
-use crate::peers::NodeReply;
+use crate::daemons::DaemonInfo;
+use crate::peers::DaemonCall;
+use crate::peers::DaemonReply;
 use crate::platform::Platform;
 
 /// How much longer a response may take than the advisor's own time for the query: queries
@@ -91,9 +91,9 @@
 
     /// Updates the list of daemons. Returns the addresses of all proxies, including daemons
     /// that have left but still have queries pending.
-    pub fn update_members(&self, members: &[Member]) -> Vec<String> {
+    pub fn update_daemons(&self, daemons: &[DaemonInfo]) -> Vec<String> {
         let mut addresses = BTreeSet::from([self.own_address.clone()]);
-        addresses.extend(members.iter().map(|member| member.address.clone()));
+        addresses.extend(daemons.iter().map(|daemon| daemon.address.clone()));
         let mut state = self.lock();
         state.proxies.retain(|address, proxy| addresses.contains(address) || proxy.pending_ms > 0);
         for address in addresses {
@@ -105,13 +105,13 @@
     }
 
     /// Sends a call to another daemon without waiting for the reply; does nothing for this one.
-    pub fn notify(&self, address: String, call: NodeCall) {
+    pub fn notify(&self, address: String, call: DaemonCall) {
         if address == self.own_address {
             return;
         }
         let peers = self.peers.clone();
         tokio::spawn(async move {
-            if let Err(error) = peers.call::<NodeReply>(&address, &call, NOTIFY_TIMEOUT).await {
+            if let Err(error) = peers.call::<DaemonReply>(&address, &call, NOTIFY_TIMEOUT).await {
                 tracing::debug!(address, %error, "cannot notify a daemon");
             }
         });
@@ -174,10 +174,10 @@
         workers: &[WorkerId],
         limit_ms: u64,
     ) -> Option<Vec<Grant>> {
-        let call = NodeCall::Advise { step, workers: workers.to_vec(), limit_ms };
+        let call = DaemonCall::Advise { step, workers: workers.to_vec(), limit_ms };
         let limit = Duration::from_millis(limit_ms);
-        match self.peers.call::<NodeReply>(address, &call, limit).await {
-            Ok(NodeReply::Advised(granted)) => {
+        match self.peers.call::<DaemonReply>(address, &call, limit).await {
+            Ok(DaemonReply::Advised(granted)) => {
                 let grant = |(worker, ticket)| Grant { worker, ticket };
                 Some(granted?.into_iter().map(grant).collect())
             }
--- a/crates/node/src/commit/writer.rs
+++ b/crates/node/src/commit/writer.rs
@@ -45,7 +45,7 @@
     /// Versions of the fences, by partition.
     pub fence_versions: Mutex<Vec<u64>>,
     /// The leader's inbox.
-    pub messages: InboxSender,
+    pub inbox_sender: InboxSender,
 }
 
 /// The outcome of one attempt to write.
@@ -115,7 +115,7 @@
                 WriteOutcome::Refused => {
                     refusals += 1;
                     if refusals >= REFUSALS_MAX && !in_doubt {
-                        self.reject_all(&mut writes);
+                        self.reject_submissions(&mut writes);
                     }
                 }
             }
@@ -197,7 +197,7 @@
                 let accepted = existing_job_outcome(put.job, &encode(spec.as_ref()), rows);
                 put.submission = None;
                 if accepted != Accepted::Yes {
-                    self.messages.notify(Event::Rejected { job: put.job, accepted });
+                    self.inbox_sender.notify(Event::Rejected { job: put.job, accepted });
                 }
                 accepted == Accepted::Yes
             });
@@ -209,17 +209,17 @@
     fn notify_in_doubt(&self, writes: &[PartitionWrite]) {
         let puts = writes.iter().flat_map(|write| &write.puts);
         for put in puts.filter(|put| put.submission.is_some()) {
-            self.messages.notify(Event::InDoubt { job: put.job });
+            self.inbox_sender.notify(Event::InDoubt { job: put.job });
         }
     }
 
     /// Rejects submissions; nothing of them is in the store or ever will be.
-    fn reject_all(&self, writes: &mut [PartitionWrite]) {
+    fn reject_submissions(&self, writes: &mut [PartitionWrite]) {
         for write in writes {
             write.puts.retain(|put| {
                 if put.submission.is_some() {
                     let accepted = Accepted::No;
-                    self.messages.notify(Event::Rejected { job: put.job, accepted });
+                    self.inbox_sender.notify(Event::Rejected { job: put.job, accepted });
                 }
                 put.submission.is_none()
             });
@@ -272,10 +272,10 @@
     }
 
     fn notify_committed(&self, batch: u64, partition: usize) {
-        self.messages.notify(Event::Committed { batch, partition });
+        self.inbox_sender.notify(Event::Committed { batch, partition });
     }
 
     fn notify_leadership_lost(&self) {
-        self.messages.notify_leadership_lost();
+        self.inbox_sender.notify_leadership_lost();
     }
 }
--- a/crates/node/src/members.rs
+++ b/crates/node/src/daemons.rs
@@ -8,7 +8,7 @@
 
 /// A daemon of the pool, as other daemons know it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Member {
+pub struct DaemonInfo {
     /// The address for calls from other daemons.
     pub address: String,
     /// The availability zone of its machine.
@@ -20,14 +20,14 @@
 }
 
 /// Parses the rows of daemons, skipping those that cannot be parsed.
-pub fn read_members(rows: &[Row]) -> Vec<Member> {
-    let mut members = Vec::with_capacity(rows.len());
+pub fn parse_daemons(rows: &[Row]) -> Vec<DaemonInfo> {
+    let mut daemons = Vec::with_capacity(rows.len());
     for row in rows {
         let Some(value) = &row.value else { continue };
         match serde_json::from_slice(value) {
-            Ok(member) => members.push(member),
+            Ok(daemon) => daemons.push(daemon),
             Err(error) => tracing::debug!(key = row.key, %error, "skipping an invalid daemon row"),
         }
     }
-    members
+    daemons
 }
--- a/crates/node/src/election.rs
+++ b/crates/node/src/election.rs
@@ -25,13 +25,13 @@
 /// is only unreachable from other daemons still renews its row.
 pub const FAILED_LEADER_TIMEOUT_MS: u64 = RENEW_INTERVAL_MS + 100;
 /// Added to [`FAILED_LEADER_TIMEOUT_MS`], in usual response times of the store.
-const FAILED_LEADER_RESPONSE_TIMES: u64 = 2;
+const FAILED_LEADER_LATENCY_FACTOR: u64 = 2;
 /// Others may see a renewal this much earlier than the leader gets the response to its
 /// write: several response times of a slow store.
 const RENEWAL_LAG_MS: u64 = 400;
 /// A store that answers within this is near and costs no delay.
-const NEAR_ANSWER_MS: u64 = 12;
-/// Claim delay for each millisecond of response time beyond [`NEAR_ANSWER_MS`]. Daemons in
+const NEAR_STORE_LATENCY_MS: u64 = 12;
+/// Claim delay for each millisecond of response time beyond [`NEAR_STORE_LATENCY_MS`]. Daemons in
 /// other regions have some 24 ms more and so wait about 240 ms, long enough to see
 /// the claim of a nearer daemon.
 const DISTANCE_DELAY_FACTOR: u64 = 10;
@@ -83,7 +83,7 @@
     pub changed_ms: u64,
     /// Since when the row can be read and written, as far as this daemon knows. While
     /// it cannot, its holder cannot renew it either.
-    pub writable_since_ms: u64,
+    pub store_available_since_ms: u64,
 }
 
 /// The properties of a daemon that determine how soon it may claim the leader lease.
@@ -96,13 +96,13 @@
     /// Bandwidth of its machine's network link, in Mbit/s.
     pub link_mbps: f64,
     /// The store's usual response time.
-    pub store_answer_ms: u64,
+    pub store_latency_ms: u64,
 }
 
 impl Candidate {
     /// How long this daemon waits, once the lease is free, for more suitable ones to claim it.
     pub fn claim_delay_ms(&self) -> u64 {
-        let excess_ms = self.store_answer_ms.saturating_sub(NEAR_ANSWER_MS);
+        let excess_ms = self.store_latency_ms.saturating_sub(NEAR_STORE_LATENCY_MS);
         let distance_ms = (excess_ms * DISTANCE_DELAY_FACTOR).min(DISTANCE_DELAY_MAX_MS);
         let few_cores_ms = (FEW_CORES_DELAY_MS * (0.5 - self.cores) / 0.25).max(0.0) as u64;
         let slow_link_ms = if self.link_mbps < SLOW_LINK_MBPS { SLOW_LINK_DELAY_MS } else { 0 };
@@ -121,12 +121,12 @@
 impl LeaderLeaseView {
     /// The view of a daemon that has not read the row yet.
     pub fn new(now_ms: u64) -> Self {
-        Self { row: None, changed_ms: now_ms, writable_since_ms: now_ms }
+        Self { row: None, changed_ms: now_ms, store_available_since_ms: now_ms }
     }
 
     /// Records that the row could not be read, or a claim could not be written.
-    pub fn note_unwritable(&mut self, now_ms: u64) {
-        self.writable_since_ms = now_ms;
+    pub fn record_store_failure(&mut self, now_ms: u64) {
+        self.store_available_since_ms = now_ms;
     }
 
     /// Records the row as it was read; an unchanged version does not count as a change.
@@ -140,11 +140,11 @@
     }
 
     /// The earliest time at which this daemon may claim the lease, if the row stays unchanged.
-    pub fn claim_ms(&self, candidate: &Candidate, holder: Liveness) -> u64 {
+    pub fn claim_due_ms(&self, candidate: &Candidate, holder: Liveness) -> u64 {
         let is_free = self.row.as_ref().is_none_or(|(row, _)| row.released);
         // The row was written by a previous process of this daemon, which has ended.
         let is_own = self.row.as_ref().is_some_and(|(row, _)| row.holder == candidate.name);
-        let since_ms = self.changed_ms.max(self.writable_since_ms);
+        let since_ms = self.changed_ms.max(self.store_available_since_ms);
         if is_own {
             // No other daemon may claim the row yet, and waiting until one may would cost more
             // time than a more suitable leader could make up for.
@@ -155,7 +155,7 @@
         }
         let timeout_ms = match holder {
             Liveness::Gone | Liveness::Isolated => {
-                FAILED_LEADER_TIMEOUT_MS + candidate.store_answer_ms * FAILED_LEADER_RESPONSE_TIMES
+                FAILED_LEADER_TIMEOUT_MS + candidate.store_latency_ms * FAILED_LEADER_LATENCY_FACTOR
             }
             Liveness::Healthy | Liveness::Unknown => LEADER_LEASE_MS,
         };
@@ -177,8 +177,8 @@
         let Some((row, _)) = &self.row else { return 0 };
         let unchanged_ms = now_ms.saturating_sub(self.changed_ms);
         let has_ended = row.released || row.holder == own_name;
-        let holder_extends_ms = if has_ended { 0 } else { EXTENSION_WINDOW_MS + RENEWAL_LAG_MS };
-        holder_extends_ms.max(row.earlier_extends_ms).saturating_sub(unchanged_ms)
+        let holder_may_extend_ms = if has_ended { 0 } else { EXTENSION_WINDOW_MS + RENEWAL_LAG_MS };
+        holder_may_extend_ms.max(row.earlier_extends_ms).saturating_sub(unchanged_ms)
     }
 
     /// The version that a claim expects the row to have, and the epoch of the claim.
--- a/crates/node/src/elector.rs
+++ b/crates/node/src/elector.rs
@@ -38,7 +38,7 @@
 /// Maximum attempts of a daemon to announce itself in the store.
 const ANNOUNCE_ATTEMPTS_MAX: u32 = 40;
 /// Maximum queries queued for the scheduler.
-const QUERY_QUEUE_MAX: usize = 1_024;
+const REQUEST_QUEUE_MAX: usize = 1_024;
 
 /// Takes part in leader election for the lifetime of a daemon.
 #[derive(Debug)]
@@ -52,7 +52,7 @@
     /// Receives each change of leader.
     pub gateway: Arc<Gateway<P>>,
     /// Passed to the scheduler while this daemon leads.
-    pub advisors: Arc<AdvisorDispatcher<P>>,
+    pub advisor_dispatcher: Arc<AdvisorDispatcher<P>>,
     /// Client for calls to other daemons.
     pub peers: Peers,
     /// Becomes true when the daemon stops.
@@ -81,7 +81,7 @@
                 polled = self.poll_lease(&mut view, &mut after) => polled,
                 _ = stop.wait_for(|stop| *stop) => break,
             };
-            if !polled || steady_ms() < self.claim_ms(&view) {
+            if !polled || steady_ms() < self.claim_due_ms(&view) {
                 tokio::select! {
                     () = self.delay_next_poll(&view) => {}
                     _ = stop.wait_for(|stop| *stop) => break,
@@ -92,7 +92,7 @@
                 Ok(held) => held,
                 Err(StoreError::Conflict(_)) => continue,
                 Err(_) => {
-                    view.note_unwritable(steady_ms());
+                    view.record_store_failure(steady_ms());
                     continue;
                 }
             };
@@ -117,12 +117,12 @@
             name: self.settings.name.clone(),
             cores: self.settings.cores,
             link_mbps: self.settings.link_mbps,
-            store_answer_ms: self.health.latency_ms(),
+            store_latency_ms: self.health.latency_ms(),
         }
     }
 
-    fn claim_ms(&self, view: &LeaderLeaseView) -> u64 {
-        view.claim_ms(&self.candidate(), self.gateway.leader_liveness(view.epoch()))
+    fn claim_due_ms(&self, view: &LeaderLeaseView) -> u64 {
+        view.claim_due_ms(&self.candidate(), self.gateway.leader_liveness(view.epoch()))
     }
 
     /// Reads the lease row once, waiting for a change as long as no claim is due. `false` if
@@ -152,7 +152,7 @@
             }
             Err(error) => {
                 tracing::debug!(%error, "polling the leader lease failed; retrying");
-                view.note_unwritable(steady_ms());
+                view.record_store_failure(steady_ms());
                 tokio::time::sleep(RETRY_DELAY).await;
                 false
             }
@@ -194,7 +194,7 @@
         view: &LeaderLeaseView,
         after: &mut Option<u64>,
     ) -> Result<Option<Option<(LeaderLease, u64)>>, StoreError> {
-        let due_ms = self.claim_ms(view).saturating_sub(steady_ms());
+        let due_ms = self.claim_due_ms(view).saturating_sub(steady_ms());
         let wait_ms = due_ms.min(LEASE_POLL_WAIT_MS);
         let rows = self.platform.poll_changes(Table::Duty, version, wait_ms).await?;
         *after = Some(rows.version);
@@ -246,20 +246,20 @@
 
     async fn lead(&self, lease: HeldLease) {
         let epoch = lease.row.epoch;
-        let (queries, received_queries) = mpsc::channel(QUERY_QUEUE_MAX);
+        let (requests, received_requests) = mpsc::channel(REQUEST_QUEUE_MAX);
         self.gateway.observe_leader(epoch, Some(self.settings.address.clone()));
-        self.gateway.set_local_leader(Some(queries.clone()));
-        self.leading.send_replace(Some(queries));
+        self.gateway.set_local_leader(Some(requests.clone()));
+        self.leading.send_replace(Some(requests));
         let lead = Leader {
             platform: Arc::clone(&self.platform),
             lease,
             limits: self.settings.limits,
             health: Arc::clone(&self.health),
-            advisors: Arc::clone(&self.advisors),
+            advisor_dispatcher: Arc::clone(&self.advisor_dispatcher),
             peers: self.peers.clone(),
             gateway: Arc::clone(&self.gateway),
-            member: self.settings.member(),
-            queries: received_queries,
+            own_info: self.settings.own_info(),
+            requests: received_requests,
             stop: self.stop.clone(),
         };
         lead.run().await;
@@ -273,7 +273,7 @@
 /// Writes this daemon's address to the store, so that the leader can query the advisor
 /// through it.
 async fn announce<P: Platform>(platform: Arc<P>, health: Arc<StoreHealth>, settings: NodeSettings) {
-    let put = vec![(Table::Daemons, settings.name.clone(), encode(&settings.member()))];
+    let put = vec![(Table::Daemons, settings.name.clone(), encode(&settings.own_info()))];
     let transaction = Transaction { put, ..Transaction::default() };
     for _ in 0..ANNOUNCE_ATTEMPTS_MAX {
         match health.track_write(platform.transact(&transaction)).await {
--- a/crates/node/src/executors/link.rs
+++ b/crates/node/src/executors/link.rs
@@ -23,8 +23,8 @@
 use super::call::encode;
 use super::session::SessionId;
 use crate::clock::steady_ms;
-use crate::peers::NodeCall;
-use crate::peers::NodeReply;
+use crate::peers::DaemonCall;
+use crate::peers::DaemonReply;
 
 /// How long an executor that has no replies waits for one when the leader collects them.
 const COLLECT_WAIT_MS: u64 = 200;
@@ -157,10 +157,10 @@
         wait_ms: u64,
         on_reply: &impl Fn(PendingCall, WorkerReply),
     ) -> bool {
-        let call = NodeCall::Collect { session, wait_ms };
+        let call = DaemonCall::Collect { session, wait_ms };
         let limit = Duration::from_millis(wait_ms) + COLLECT_MARGIN;
-        let reply = peers.call::<NodeReply>(&self.address, &call, limit).await;
-        let Ok(NodeReply::Collected { clock_ms, replies }) = reply else {
+        let reply = peers.call::<DaemonReply>(&self.address, &call, limit).await;
+        let Ok(DaemonReply::Collected { clock_ms, replies }) = reply else {
             tracing::debug!(
                 executor = self.address,
                 ?reply,
@@ -207,10 +207,10 @@
             let Some((batch, numbers)) = self.next_batch(on_reply) else { continue };
             let peers = peers.clone();
             let address = self.address.clone();
-            let call = NodeCall::Execute { session, batch: encode(&batch) };
+            let call = DaemonCall::Execute { session, batch: encode(&batch) };
             in_flight.spawn(async move {
-                match peers.call::<NodeReply>(&address, &call, EXECUTE_TIMEOUT).await {
-                    Ok(NodeReply::Noted) => Ok(()),
+                match peers.call::<DaemonReply>(&address, &call, EXECUTE_TIMEOUT).await {
+                    Ok(DaemonReply::Noted) => Ok(()),
                     Ok(_) | Err(PeerError::NotSent(_)) => Err((numbers, CallError::NotSent)),
                     Err(PeerError::NoAnswer(_)) => Err((numbers, CallError::NoAnswer)),
                 }
--- a/crates/node/src/executors/mod.rs
+++ b/crates/node/src/executors/mod.rs
@@ -34,8 +34,8 @@
 use self::plan::executors_wanted;
 use self::plan::is_busy;
 use self::plan::needs_executors;
+use crate::daemons::DaemonInfo;
 use crate::inbox::InboxSender;
-use crate::members::Member;
 use crate::platform::Platform;
 
 /// How long a new leader waits for its executors before it starts to make calls, directly
@@ -48,7 +48,7 @@
     platform: Arc<P>,
     peers: Peers,
     epoch: u64,
-    messages: InboxSender,
+    inbox_sender: InboxSender,
     state: Arc<Mutex<State>>,
     /// Direct calls and the tasks of links; all are aborted when this is dropped.
     tasks: Mutex<JoinSet<()>>,
@@ -58,8 +58,8 @@
 
 #[derive(Debug)]
 struct State {
-    leader: Member,
-    members: Vec<Member>,
+    leader: DaemonInfo,
+    daemons: Vec<DaemonInfo>,
     workers: BTreeMap<ZoneName, usize>,
     links: BTreeMap<ZoneName, Vec<Arc<Link>>>,
     /// Whether the leader's decisions take up most of its processor time.
@@ -75,13 +75,13 @@
     pub fn new(
         platform: Arc<P>,
         peers: Peers,
-        leader: Member,
+        leader: DaemonInfo,
         epoch: u64,
-        messages: InboxSender,
+        inbox_sender: InboxSender,
     ) -> Self {
         let state = State {
             leader,
-            members: Vec::new(),
+            daemons: Vec::new(),
             workers: BTreeMap::new(),
             links: BTreeMap::new(),
             busy: false,
@@ -90,12 +90,20 @@
         };
         let state = Arc::new(Mutex::new(state));
         let tasks = Mutex::default();
-        Self { platform, peers, epoch, messages, state, tasks, changed: watch::Sender::default() }
+        Self {
+            platform,
+            peers,
+            epoch,
+            inbox_sender,
+            state,
+            tasks,
+            changed: watch::Sender::default(),
+        }
     }
 
     /// Updates the list of daemons that can be executors.
-    pub fn update_members(&self, members: Vec<Member>) {
-        self.lock().members = members;
+    pub fn update_daemons(&self, daemons: Vec<DaemonInfo>) {
+        self.lock().daemons = daemons;
         self.open_links();
     }
 
@@ -151,7 +159,7 @@
 
     fn call_directly(&self, call: WorkerCall) {
         let platform = Arc::clone(&self.platform);
-        let messages = self.messages.clone();
+        let inbox_sender = self.inbox_sender.clone();
         let state = Arc::clone(&self.state);
         let pending = call.pending();
         self.spawn(async move {
@@ -159,7 +167,7 @@
             if reply.is_unanswered() {
                 lock(&state).direct_workers.remove(pending.worker());
             }
-            messages.notify(pending.into_event(reply));
+            inbox_sender.notify(pending.into_event(reply));
         });
     }
 
@@ -170,16 +178,16 @@
             return;
         }
         for (zone, workers) in state.workers.clone() {
-            for member in executor_candidates(&zone, &state.members, &state.leader) {
+            for daemon in executor_candidates(&zone, &state.daemons, &state.leader) {
                 let links = state.links.entry(zone.clone()).or_default();
                 if links.iter().filter(|link| link.is_usable()).count() >= executors_wanted(workers)
                 {
                     break;
                 }
-                if links.iter().any(|link| link.address == member.address) {
+                if links.iter().any(|link| link.address == daemon.address) {
                     continue;
                 }
-                let link = Arc::new(Link::new(member.address.clone()));
+                let link = Arc::new(Link::new(daemon.address.clone()));
                 links.push(Arc::clone(&link));
                 self.run_link(link);
             }
@@ -189,7 +197,7 @@
     /// Keeps a session open with an executor for as long as this daemon leads.
     fn run_link(&self, link: Arc<Link>) {
         let peers = self.peers.clone();
-        let messages = self.messages.clone();
+        let inbox_sender = self.inbox_sender.clone();
         let shared = Arc::clone(&self.state);
         let changed = self.changed.clone();
         let epoch = self.epoch;
@@ -197,7 +205,7 @@
             if reply.is_unanswered() {
                 lock(&shared).direct_workers.insert(pending.worker().clone());
             }
-            messages.notify(pending.into_event(reply));
+            inbox_sender.notify(pending.into_event(reply));
         };
         let next_session = {
             let shared = Arc::clone(&self.state);
--- a/crates/node/src/executors/plan.rs
+++ b/crates/node/src/executors/plan.rs
@@ -3,7 +3,7 @@
 use stoatwell_model::ZoneName;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::members::Member;
+use crate::daemons::DaemonInfo;
 
 /// Number of workers that a leader can call directly for each core.
 const DIRECT_WORKERS_PER_CORE: f64 = 800.0;
@@ -15,7 +15,7 @@
 const EXECUTORS_MIN: usize = 2;
 
 /// Whether a leader has more workers than it can call directly.
-pub fn needs_executors(workers: usize, leader: &Member) -> bool {
+pub fn needs_executors(workers: usize, leader: &DaemonInfo) -> bool {
     let core_limit = leader.cores * DIRECT_WORKERS_PER_CORE;
     let link_limit = leader.link_mbps * DIRECT_WORKERS_PER_MBPS;
     workers as f64 > core_limit.min(link_limit)
@@ -29,7 +29,7 @@
 
 /// Whether a leader is too busy to make its calls directly, given how much time of a period
 /// its decisions took. The threshold is lower if it was busy before.
-pub fn is_busy(deciding_ms: u64, period_ms: u64, leader: &Member, was_busy: bool) -> bool {
+pub fn is_busy(deciding_ms: u64, period_ms: u64, leader: &DaemonInfo, was_busy: bool) -> bool {
     let threshold_percent = if was_busy { IDLE_BELOW_PERCENT } else { BUSY_ABOVE_PERCENT };
     let share = deciding_ms as f64 / period_ms.max(1) as f64;
     share * 100.0 > threshold_percent as f64 * leader.cores.min(1.0)
@@ -41,9 +41,14 @@
 }
 
 /// The daemons of a zone that can be executors, most powerful first; without the leader.
-pub fn executor_candidates(zone: &ZoneName, members: &[Member], leader: &Member) -> Vec<Member> {
-    let is_candidate = |member: &&Member| member.zone == *zone && member.address != leader.address;
-    let mut candidates: Vec<Member> = members.iter().filter(is_candidate).cloned().collect();
+pub fn executor_candidates(
+    zone: &ZoneName,
+    daemons: &[DaemonInfo],
+    leader: &DaemonInfo,
+) -> Vec<DaemonInfo> {
+    let is_candidate =
+        |daemon: &&DaemonInfo| daemon.zone == *zone && daemon.address != leader.address;
+    let mut candidates: Vec<DaemonInfo> = daemons.iter().filter(is_candidate).cloned().collect();
     candidates.sort_by(|a, b| {
         let by_capacity = b.cores.total_cmp(&a.cores).then(b.link_mbps.total_cmp(&a.link_mbps));
         by_capacity.then_with(|| xxh3_64(a.address.as_bytes()).cmp(&xxh3_64(b.address.as_bytes())))
--- a/crates/node/src/gateway.rs
+++ b/crates/node/src/gateway.rs
@@ -38,8 +38,8 @@
 use crate::manifest::Manifest;
 use crate::manifest::RelayedProof;
 use crate::message::SchedulerRequest;
-use crate::peers::NodeCall;
-use crate::peers::NodeReply;
+use crate::peers::DaemonCall;
+use crate::peers::DaemonReply;
 use crate::platform::Platform;
 use crate::platform::StoreError;
 use crate::platform::Table;
@@ -83,7 +83,7 @@
     leader: watch::Sender<LeaderView>,
     executor: Executor<P>,
     /// Number of daemons in the pool, as far as the leader knows, and of those fit to lead.
-    member_count: AtomicU32,
+    daemon_count: AtomicU32,
     candidate_count: AtomicU32,
 }
 
@@ -109,7 +109,7 @@
     ) -> Self {
         let executor = Executor::new(Arc::clone(&platform));
         let leader = watch::Sender::default();
-        let member_count = AtomicU32::default();
+        let daemon_count = AtomicU32::default();
         let candidate_count = AtomicU32::default();
         Self {
             platform,
@@ -119,7 +119,7 @@
             manifest,
             leader,
             executor,
-            member_count,
+            daemon_count,
             candidate_count,
         }
     }
@@ -131,8 +131,8 @@
 
     /// Records the query channel of the scheduler on this daemon; `None` if this daemon no
     /// longer leads.
-    pub(crate) fn set_local_leader(&self, queries: Option<mpsc::Sender<SchedulerRequest>>) {
-        self.leader.send_modify(|view| view.set_local(queries));
+    pub(crate) fn set_local_leader(&self, requests: Option<mpsc::Sender<SchedulerRequest>>) {
+        self.leader.send_modify(|view| view.set_local(requests));
     }
 
     /// Records the liveness of the leader of an epoch.
@@ -152,8 +152,8 @@
 
     /// Sets the number of daemons and the number of them that are fit to lead, as the leader
     /// counted them.
-    pub(crate) fn set_member_counts(&self, members: u32, candidates: u32) {
-        self.member_count.store(members, Ordering::Relaxed);
+    pub(crate) fn set_daemon_counts(&self, members: u32, candidates: u32) {
+        self.daemon_count.store(members, Ordering::Relaxed);
         self.candidate_count.store(candidates, Ordering::Relaxed);
     }
 
@@ -182,8 +182,8 @@
             return;
         }
         let requested_ms = steady_ms();
-        let reply = self.peers.call(leader, &NodeCall::Manifest, LEADER_TIMEOUT).await;
-        let Ok(NodeReply::Manifest { manifest, proof }) = reply else { return };
+        let reply = self.peers.call(leader, &DaemonCall::Manifest, LEADER_TIMEOUT).await;
+        let Ok(DaemonReply::Manifest { manifest, proof }) = reply else { return };
         let Some(manifest) = executors::call::decode::<Manifest>(&manifest) else { return };
         self.manifest.replace_if_newer(manifest);
         self.manifest.note_proof(FreshnessProof::from_peer(
@@ -234,7 +234,7 @@
             _ => self.make_cancel_durable(job, deadline).await,
         };
         if accepted == Accepted::Yes {
-            self.notify_leader(NodeCall::Cancelled(job));
+            self.notify_leader(DaemonCall::Cancelled(job));
         }
         tracing::info!(%job, ?known, ?accepted, "cancellation answered");
         Some(accepted)
@@ -288,7 +288,7 @@
     ) -> Accepted {
         let accepted = self.acceptor.accept(WriteRequest::Submit(job, row.clone()), deadline).await;
         if accepted == Accepted::Yes {
-            self.notify_leader(NodeCall::Accepted { job, row });
+            self.notify_leader(DaemonCall::Accepted { job, row });
         }
         accepted
     }
@@ -299,22 +299,22 @@
         row: Vec<u8>,
         deadline: Instant,
     ) -> LeaderReply {
-        let call = NodeCall::Submit { job, row };
+        let call = DaemonCall::Submit { job, row };
         let address = match self.route() {
             Route::None => return LeaderReply::NotSent,
             Route::Local(_) if !self.reaches_store() => return LeaderReply::NotSent,
-            Route::Local(queries) => {
-                let reply = timeout_at(deadline, call_local(&queries, call)).await;
+            Route::Local(requests) => {
+                let reply = timeout_at(deadline, call_local(&requests, call)).await;
                 return match reply {
-                    Ok(Some(NodeReply::Submitted(accepted))) => LeaderReply::Outcome(accepted),
+                    Ok(Some(DaemonReply::Submitted(accepted))) => LeaderReply::Outcome(accepted),
                     Ok(_) | Err(_) => LeaderReply::NoAnswer,
                 };
             }
             Route::Remote(address) => address,
         };
         let limit = deadline.saturating_duration_since(Instant::now());
-        match self.peers.call::<NodeReply>(&address, &call, limit).await {
-            Ok(NodeReply::Submitted(accepted)) => LeaderReply::Outcome(accepted),
+        match self.peers.call::<DaemonReply>(&address, &call, limit).await {
+            Ok(DaemonReply::Submitted(accepted)) => LeaderReply::Outcome(accepted),
             Ok(_) | Err(PeerError::NotSent(_)) => LeaderReply::NotSent,
             Err(PeerError::NoAnswer(error)) => {
                 tracing::debug!(%job, address, error, "leader did not answer a submission; its outcome is unknown");
@@ -343,9 +343,9 @@
         }
         let Some(address) = self.remote_leader() else { return local };
         let limit = PEER_CANCEL_TIMEOUT.min(deadline.saturating_duration_since(Instant::now()));
-        let call = NodeCall::Cancel { job, limit_ms: limit.as_millis() as u64 };
-        match self.peers.call::<NodeReply>(&address, &call, limit).await {
-            Ok(NodeReply::Submitted(accepted)) => accepted,
+        let call = DaemonCall::Cancel { job, limit_ms: limit.as_millis() as u64 };
+        match self.peers.call::<DaemonReply>(&address, &call, limit).await {
+            Ok(DaemonReply::Submitted(accepted)) => accepted,
             Ok(_) | Err(PeerError::NotSent(_)) => Accepted::No,
             Err(PeerError::NoAnswer(error)) => {
                 tracing::warn!(%job, address, error, "leader did not answer a cancellation; its outcome is unknown");
@@ -360,8 +360,8 @@
     async fn cancel_for_peer(&self, job: JobId, limit_ms: u64) -> Accepted {
         let deadline = Instant::now() + Duration::from_millis(limit_ms);
         let accepted = self.acceptor.accept(WriteRequest::Cancel(job), deadline).await;
-        if let (Accepted::Yes, Route::Local(queries)) = (accepted, self.route())
-            && call_local(&queries, NodeCall::Cancelled(job)).await.is_none()
+        if let (Accepted::Yes, Route::Local(requests)) = (accepted, self.route())
+            && call_local(&requests, DaemonCall::Cancelled(job)).await.is_none()
         {
             tracing::debug!(
                 "scheduler stopped before it was notified of a cancellation; the store's change feed will deliver it"
@@ -380,7 +380,7 @@
     /// Notifies the leader of a durable write without waiting for its reply. The store's
     /// change feed delivers the write too, but a quarter of a second later, and much later if
     /// the store is slow.
-    fn notify_leader(self: &Arc<Self>, call: NodeCall) {
+    fn notify_leader(self: &Arc<Self>, call: DaemonCall) {
         let gateway = Arc::clone(self);
         tokio::spawn(async move {
             if gateway.call_leader(call).await.is_none() {
@@ -394,7 +394,8 @@
     /// Looks up a job's state. A job of another customer is reported as absent, so that the
     /// caller learns nothing about it.
     pub async fn state(&self, job: JobId, caller: Option<&CustomerName>) -> JobLookup {
-        if let Some(NodeReply::State(Some(view))) = self.call_leader(NodeCall::State(job)).await {
+        if let Some(DaemonReply::State(Some(view))) = self.call_leader(DaemonCall::State(job)).await
+        {
             return visible_state(&view, caller);
         }
         // The leader is unavailable, or has not received a job that was just accepted.
@@ -410,8 +411,8 @@
 
     /// Number of jobs of a queue for which nothing has started; `None` if no leader answers.
     pub async fn pending(&self, queue: &str) -> Option<u64> {
-        match self.call_leader(NodeCall::Pending(queue.to_owned())).await {
-            Some(NodeReply::Pending(count)) => Some(count),
+        match self.call_leader(DaemonCall::Pending(queue.to_owned())).await {
+            Some(DaemonReply::Pending(count)) => Some(count),
             _ => None,
         }
     }
@@ -438,13 +439,13 @@
     }
 
     /// Sends a call to the leader, on this daemon or another; `None` if no leader answers.
-    async fn call_leader(&self, call: NodeCall) -> Option<NodeReply> {
+    async fn call_leader(&self, call: DaemonCall) -> Option<DaemonReply> {
         match self.route() {
             Route::None => None,
-            Route::Local(queries) => call_local(&queries, call).await,
+            Route::Local(requests) => call_local(&requests, call).await,
             Route::Remote(address) => {
-                match self.peers.call::<NodeReply>(&address, &call, LEADER_TIMEOUT).await {
-                    Ok(NodeReply::NotScheduler) => None,
+                match self.peers.call::<DaemonReply>(&address, &call, LEADER_TIMEOUT).await {
+                    Ok(DaemonReply::NotScheduler) => None,
                     Ok(reply) => Some(reply),
                     Err(error) => {
                         tracing::debug!(address, %error, "call to the leader failed");
@@ -456,57 +457,57 @@
     }
 
     /// Handles a call from another daemon.
-    pub async fn answer(&self, call: NodeCall) -> NodeReply {
-        if let NodeCall::Advise { step, workers, limit_ms } = call {
+    pub async fn answer(&self, call: DaemonCall) -> DaemonReply {
+        if let DaemonCall::Advise { step, workers, limit_ms } = call {
             let granted = self.platform.advise(step, &workers, limit_ms).await;
             let to_pair = |grant: stoatwell_pool::Grant| (grant.worker, grant.ticket);
-            return NodeReply::Advised(
+            return DaemonReply::Advised(
                 granted.map(|grants| grants.into_iter().map(to_pair).collect()),
             );
         }
-        if let NodeCall::Cancel { job, limit_ms } = call {
-            return NodeReply::Submitted(self.cancel_for_peer(job, limit_ms).await);
+        if let DaemonCall::Cancel { job, limit_ms } = call {
+            return DaemonReply::Submitted(self.cancel_for_peer(job, limit_ms).await);
         }
-        if let NodeCall::Leads { epoch, address } = call {
+        if let DaemonCall::Leads { epoch, address } = call {
             self.observe_leader(epoch, Some(address));
-            return NodeReply::Noted;
+            return DaemonReply::Noted;
         }
-        if let NodeCall::Execute { session, batch } = call {
+        if let DaemonCall::Execute { session, batch } = call {
             let accepted = executors::call::decode::<Batch>(&batch)
                 .is_some_and(|batch| self.executor.execute(session, batch));
-            return if accepted { NodeReply::Noted } else { NodeReply::NotScheduler };
+            return if accepted { DaemonReply::Noted } else { DaemonReply::NotScheduler };
         }
-        if let NodeCall::Collect { session, wait_ms } = call {
+        if let DaemonCall::Collect { session, wait_ms } = call {
             let Some(replies) = self.executor.collect(session, wait_ms).await else {
-                return NodeReply::NotScheduler;
+                return DaemonReply::NotScheduler;
             };
             let replies = executors::call::encode(&replies);
-            return NodeReply::Collected { clock_ms: steady_ms(), replies };
+            return DaemonReply::Collected { clock_ms: steady_ms(), replies };
         }
-        if call == NodeCall::Manifest {
+        if call == DaemonCall::Manifest {
             let manifest = executors::call::encode(self.manifest.newest().as_ref());
-            return NodeReply::Manifest {
+            return DaemonReply::Manifest {
                 manifest,
                 proof: self.manifest.relayed_proof(steady_ms()),
             };
         }
-        let Route::Local(queries) = self.route() else { return NodeReply::NotScheduler };
-        if call == NodeCall::Alive {
-            let daemons = self.member_count.load(Ordering::Relaxed);
+        let Route::Local(requests) = self.route() else { return DaemonReply::NotScheduler };
+        if call == DaemonCall::Alive {
+            let daemons = self.daemon_count.load(Ordering::Relaxed);
             let fit = self.candidate_count.load(Ordering::Relaxed);
             let manifest = self.manifest.relayed_proof(steady_ms());
-            return NodeReply::Alive {
+            return DaemonReply::Alive {
                 reaches_store: self.reaches_store(),
                 daemons,
                 fit,
                 manifest,
             };
         }
-        if matches!(call, NodeCall::Submit { .. }) && !self.reaches_store() {
+        if matches!(call, DaemonCall::Submit { .. }) && !self.reaches_store() {
             // The calling daemon may reach the store itself.
-            return NodeReply::NotScheduler;
+            return DaemonReply::NotScheduler;
         }
-        call_local(&queries, call).await.unwrap_or(NodeReply::NotScheduler)
+        call_local(&requests, call).await.unwrap_or(DaemonReply::NotScheduler)
     }
 }
 
@@ -521,38 +522,41 @@
     if view.customer.as_ref() == caller { JobLookup::State(view.state) } else { JobLookup::NoJob }
 }
 
-async fn call_local(queries: &mpsc::Sender<SchedulerRequest>, call: NodeCall) -> Option<NodeReply> {
+async fn call_local(
+    requests: &mpsc::Sender<SchedulerRequest>,
+    call: DaemonCall,
+) -> Option<DaemonReply> {
     match call {
-        NodeCall::State(job) => {
+        DaemonCall::State(job) => {
             let (reply_sender, reply) = oneshot::channel();
-            queries.send(SchedulerRequest::State(job, reply_sender)).await.ok()?;
-            reply.await.ok().map(NodeReply::State)
+            requests.send(SchedulerRequest::State(job, reply_sender)).await.ok()?;
+            reply.await.ok().map(DaemonReply::State)
         }
-        NodeCall::Pending(queue) => {
+        DaemonCall::Pending(queue) => {
             let (reply_sender, reply) = oneshot::channel();
-            queries.send(SchedulerRequest::Pending(queue, reply_sender)).await.ok()?;
-            reply.await.ok().map(NodeReply::Pending)
+            requests.send(SchedulerRequest::Pending(queue, reply_sender)).await.ok()?;
+            reply.await.ok().map(DaemonReply::Pending)
         }
-        NodeCall::Submit { job, row } => {
+        DaemonCall::Submit { job, row } => {
             let (reply_sender, reply) = oneshot::channel();
-            queries.send(SchedulerRequest::Submit(job, row, reply_sender)).await.ok()?;
-            reply.await.ok().map(NodeReply::Submitted)
+            requests.send(SchedulerRequest::Submit(job, row, reply_sender)).await.ok()?;
+            reply.await.ok().map(DaemonReply::Submitted)
         }
-        NodeCall::Accepted { job, row } => {
-            queries.send(SchedulerRequest::Accepted(job, row)).await.ok()?;
-            Some(NodeReply::Noted)
+        DaemonCall::Accepted { job, row } => {
+            requests.send(SchedulerRequest::Accepted(job, row)).await.ok()?;
+            Some(DaemonReply::Noted)
         }
-        NodeCall::Cancelled(job) => {
-            queries.send(SchedulerRequest::Cancelled(job)).await.ok()?;
-            Some(NodeReply::Noted)
+        DaemonCall::Cancelled(job) => {
+            requests.send(SchedulerRequest::Cancelled(job)).await.ok()?;
+            Some(DaemonReply::Noted)
         }
-        NodeCall::Cancel { .. }
-        | NodeCall::Manifest
-        | NodeCall::Advise { .. }
-        | NodeCall::Alive
-        | NodeCall::Leads { .. }
-        | NodeCall::Execute { .. }
-        | NodeCall::Collect { .. } => None,
+        DaemonCall::Cancel { .. }
+        | DaemonCall::Manifest
+        | DaemonCall::Advise { .. }
+        | DaemonCall::Alive
+        | DaemonCall::Leads { .. }
+        | DaemonCall::Execute { .. }
+        | DaemonCall::Collect { .. } => None,
     }
 }
 
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -102,12 +102,12 @@
 
 impl MessageBudget {
     /// The budget for a cycle, given how long the decision of the previous one took.
-    pub fn after_decision(decision_time: Duration) -> Self {
+    pub fn for_cycle(decision_time: Duration) -> Self {
         Self { started: Instant::now(), handled_in_burst: 0, min_duration: decision_time }
     }
 
     /// Begins another burst; returns `false` if the last one was not full or the time is up.
-    pub fn next_burst(&mut self) -> bool {
+    pub fn start_next_burst(&mut self) -> bool {
         let is_exhausted = self.handled_in_burst >= BURST_MESSAGES_MAX;
         self.handled_in_burst = 0;
         is_exhausted && self.started.elapsed() < self.min_duration
--- a/crates/node/src/leader.rs
+++ b/crates/node/src/leader.rs
@@ -32,6 +32,7 @@
 use crate::commit::Writer;
 use crate::commit::claim_fences;
 use crate::commit::renew_lease;
+use crate::daemons::DaemonInfo;
 use crate::election::LEADER_LEASE_MS;
 use crate::executors::Executors;
 use crate::executors::call::WorkerCall;
@@ -43,10 +44,9 @@
 use crate::inbox::inbox;
 use crate::manifest::CurrentManifest;
 use crate::manifest::Manifest;
-use crate::members::Member;
 use crate::message::Message;
 use crate::message::SchedulerRequest;
-use crate::peers::NodeCall;
+use crate::peers::DaemonCall;
 use crate::platform::Platform;
 use crate::platform::Table;
 use crate::store_watcher::StoreWatcher;
@@ -77,15 +77,15 @@
     /// Whether the store answers.
     pub health: Arc<StoreHealth>,
     /// Sends the scheduler's queries to the advisor.
-    pub advisors: Arc<AdvisorDispatcher<P>>,
+    pub advisor_dispatcher: Arc<AdvisorDispatcher<P>>,
     /// Connections to other daemons.
     pub peers: Peers,
     /// Has the newest manifest, and answers other daemons' probes of the leader.
     pub gateway: Arc<Gateway<P>>,
     /// What other daemons know of this one.
-    pub member: Member,
+    pub own_info: DaemonInfo,
     /// Queries of this daemon's callers and of other daemons.
-    pub queries: mpsc::Receiver<SchedulerRequest>,
+    pub requests: mpsc::Receiver<SchedulerRequest>,
     /// Becomes `true` when the daemon stops.
     pub stop: tokio::sync::watch::Receiver<bool>,
 }
@@ -95,27 +95,27 @@
     pub async fn run(mut self) {
         let started_ms = steady_ms();
         let epoch = self.lease.row.epoch;
-        let (messages, mut inbox) = inbox();
+        let (inbox_sender, mut inbox) = inbox();
         let mut tasks = JoinSet::new();
         let renewed_ms = Arc::new(AtomicU64::new(started_ms));
         tasks.spawn(renew_lease_and_notify(
             Arc::clone(&self.platform),
             self.lease.clone(),
             Arc::clone(&self.health),
-            messages.clone(),
+            inbox_sender.clone(),
             self.stop.clone(),
             Arc::clone(&renewed_ms),
         ));
         let executors = Arc::new(Executors::new(
             Arc::clone(&self.platform),
             self.peers.clone(),
-            self.member.clone(),
+            self.own_info.clone(),
             epoch,
-            messages.clone(),
+            inbox_sender.clone(),
         ));
         let failover = Arc::clone(&executors);
         tasks.spawn(async move { failover.replace_failed().await });
-        let loaded = self.load(epoch, &mut tasks, &messages, &mut inbox, &executors).await;
+        let loaded = self.load(epoch, &mut tasks, &inbox_sender, &mut inbox, &executors).await;
         let Some((mut pool, writer)) = loaded else { return };
         let mut submissions = Submissions::default();
         executors.wait_until_open().await;
@@ -129,12 +129,12 @@
             let first_message = tokio::select! {
                 biased;
                 first_message = inbox.recv() => first_message,
-                Some(query) = self.queries.recv() => Some(Message::Request(query)),
+                Some(query) = self.requests.recv() => Some(Message::Request(query)),
                 () = tokio::time::sleep(Duration::from_millis(wait_ms)) => None,
             };
             let cycle_started = Instant::now();
             let has_fresh_lease = is_lease_fresh(&renewed_ms);
-            let mut budget = MessageBudget::after_decision(decision_time);
+            let mut budget = MessageBudget::for_cycle(decision_time);
             if !handle_all(
                 &mut pool,
                 &mut submissions,
@@ -145,7 +145,7 @@
             ) {
                 return;
             }
-            while budget.next_burst() {
+            while budget.start_next_burst() {
                 tokio::task::yield_now().await;
                 if !handle_all(
                     &mut pool,
@@ -158,8 +158,8 @@
                     return;
                 }
             }
-            while let Ok(query) = self.queries.try_recv() {
-                answer_query(&mut pool, &mut submissions, query, has_fresh_lease);
+            while let Ok(query) = self.requests.try_recv() {
+                handle_request(&mut pool, &mut submissions, query, has_fresh_lease);
             }
             let handled_at = Instant::now();
             pool.note_renewal(renewed_ms.load(Ordering::Relaxed));
@@ -178,7 +178,7 @@
                     submissions.resolve(job, accepted);
                     continue;
                 }
-                self.execute_effect(effect, &pool, &executors, &messages, &writer, &mut tasks);
+                self.execute_effect(effect, &pool, &executors, &inbox_sender, &writer, &mut tasks);
             }
             while tasks.try_join_next().is_some() {}
             cycle_meter.add(
@@ -208,7 +208,7 @@
         &self,
         epoch: u64,
         tasks: &mut JoinSet<()>,
-        messages: &InboxSender,
+        inbox_sender: &InboxSender,
         inbox: &mut Inbox,
         executors: &Arc<Executors<P>>,
     ) -> Option<(Pool, Arc<Writer<P>>)> {
@@ -225,12 +225,12 @@
             health: Arc::clone(&self.health),
             fence,
             fence_versions: Mutex::new(versions),
-            messages: messages.clone(),
+            inbox_sender: inbox_sender.clone(),
         });
         let store_watcher = Arc::new(StoreWatcher {
             platform: Arc::clone(&self.platform),
             health: Arc::clone(&self.health),
-            messages: messages.clone(),
+            inbox_sender: inbox_sender.clone(),
         });
         let tables = async {
             tokio::join!(
@@ -253,7 +253,7 @@
         tasks.spawn(forward_customers(
             Arc::clone(self.gateway.manifest()),
             manifest.version,
-            messages.clone(),
+            inbox_sender.clone(),
         ));
         let mut progress_by_job = std::collections::HashMap::new();
         for row in &progress.rows {
@@ -290,10 +290,16 @@
         tasks.spawn(Arc::clone(&store_watcher).watch_table(Table::Jobs, jobs.version));
         tasks.spawn(Arc::clone(&store_watcher).watch_table(Table::Cancels, cancels.version));
         tasks.spawn(Arc::clone(&store_watcher).watch_workers(version));
-        let leads_call = NodeCall::Leads { epoch, address: self.lease.row.address.clone() };
-        let (advisors, executors) = (Arc::clone(&self.advisors), Arc::clone(executors));
+        let leads_call = DaemonCall::Leads { epoch, address: self.lease.row.address.clone() };
+        let (advisor_dispatcher, executors) =
+            (Arc::clone(&self.advisor_dispatcher), Arc::clone(executors));
         let gateway = Arc::clone(&self.gateway);
-        tasks.spawn(store_watcher.track_members(advisors, executors, gateway, leads_call));
+        tasks.spawn(store_watcher.track_daemons(
+            advisor_dispatcher,
+            executors,
+            gateway,
+            leads_call,
+        ));
         Some((pool, writer))
     }
 
@@ -302,7 +308,7 @@
         effect: Effect,
         pool: &Pool,
         executors: &Executors<P>,
-        messages: &InboxSender,
+        inbox_sender: &InboxSender,
         writer: &Arc<Writer<P>>,
         tasks: &mut JoinSet<()>,
     ) {
@@ -313,14 +319,14 @@
             Effect::Stop(stop) => call(WorkerCall::Stop(stop)),
             Effect::Pace(pace) => call(WorkerCall::Pace(pace)),
             Effect::Advise { step, workers, priority, cost_ms } => {
-                let advisors = Arc::clone(&self.advisors);
-                let messages = messages.clone();
+                let advisor_dispatcher = Arc::clone(&self.advisor_dispatcher);
+                let inbox_sender = inbox_sender.clone();
                 tasks.spawn(async move {
-                    let granted = advisors.query(step, &workers, priority, cost_ms).await;
+                    let granted = advisor_dispatcher.query(step, &workers, priority, cost_ms).await;
                     let received_ms = steady_ms();
                     let event =
                         Event::Advised { step, asked: workers, cost_ms, granted, received_ms };
-                    messages.notify(event);
+                    inbox_sender.notify(event);
                 });
             }
             Effect::Commit { batch, writes } => {
@@ -335,12 +341,12 @@
 async fn forward_customers(
     in_force: Arc<CurrentManifest>,
     mut version: u64,
-    messages: InboxSender,
+    inbox_sender: InboxSender,
 ) {
     loop {
         let manifest = in_force.wait_for_newer(version).await;
         version = manifest.version;
-        messages.notify(Event::Customers { limits: customer_limits(&manifest) });
+        inbox_sender.notify(Event::Customers { limits: customer_limits(&manifest) });
     }
 }
 
@@ -361,12 +367,12 @@
     platform: Arc<P>,
     lease: HeldLease,
     health: Arc<StoreHealth>,
-    messages: InboxSender,
+    inbox_sender: InboxSender,
     stop: tokio::sync::watch::Receiver<bool>,
     renewed_ms: Arc<AtomicU64>,
 ) {
     renew_lease(platform, lease, health, stop, renewed_ms).await;
-    messages.notify_leadership_lost();
+    inbox_sender.notify_leadership_lost();
 }
 
 /// Handles a message and those queued behind it, as far as the budget allows. Returns `false`
@@ -387,7 +393,7 @@
                 count_event(&event);
                 pool.handle(steady_ms(), unix_ms(), event);
             }
-            Message::Request(query) => answer_query(pool, submissions, query, has_fresh_lease),
+            Message::Request(query) => handle_request(pool, submissions, query, has_fresh_lease),
         }
     }
     true
@@ -400,13 +406,13 @@
     steady_ms().saturating_sub(renewed_ms.load(Ordering::Relaxed)) < LEADER_LEASE_MS
 }
 
-fn answer_query(
+fn handle_request(
     pool: &mut Pool,
     submissions: &mut Submissions,
     query: SchedulerRequest,
     has_fresh_lease: bool,
 ) {
-    let is_delivered = match query {
+    let is_handled = match query {
         SchedulerRequest::Submit(job, row, reply_sender) => {
             submissions.submit(pool, job, &row, reply_sender);
             true
@@ -440,7 +446,7 @@
             reply_sender.send(pool.explain(job)).is_ok()
         }
     };
-    if !is_delivered {
+    if !is_handled {
         tracing::debug!("the caller of a query left before the reply");
     }
 }
--- a/crates/node/src/leader_view.rs
+++ b/crates/node/src/leader_view.rs
@@ -16,8 +16,8 @@
 use crate::clock::steady_ms;
 use crate::gateway::Gateway;
 use crate::message::SchedulerRequest;
-use crate::peers::NodeCall;
-use crate::peers::NodeReply;
+use crate::peers::DaemonCall;
+use crate::peers::DaemonReply;
 use crate::platform::Platform;
 
 /// Time limit for the response to a probe: some round trips between regions, and a
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeaderView {
     /// The scheduler's query channel, while this daemon leads.
-    queries: Option<mpsc::Sender<SchedulerRequest>>,
+    requests: Option<mpsc::Sender<SchedulerRequest>>,
     /// The highest epoch that was seen.
     epoch: u64,
     /// Address of that epoch's leader; `None` if it released the lease.
@@ -88,14 +88,14 @@
     }
 
     /// Sets the scheduler's query channel while this daemon leads, `None` afterwards.
-    pub fn set_local(&mut self, queries: Option<mpsc::Sender<SchedulerRequest>>) {
-        self.queries = queries;
+    pub fn set_local(&mut self, requests: Option<mpsc::Sender<SchedulerRequest>>) {
+        self.requests = requests;
     }
 
     /// How to reach the leader.
     pub fn route(&self) -> Route {
-        if let Some(queries) = &self.queries {
-            return Route::Local(queries.clone());
+        if let Some(requests) = &self.requests {
+            return Route::Local(requests.clone());
         }
         match &self.address {
             Some(address) if self.liveness != Liveness::Gone => Route::Remote(address.clone()),
@@ -128,13 +128,13 @@
 
     /// Whether there is no leader that could make anything durable.
     pub fn is_unavailable(&self) -> bool {
-        let has_leader = self.queries.is_some() || self.address.is_some();
+        let has_leader = self.requests.is_some() || self.address.is_some();
         !has_leader || matches!(self.liveness, Liveness::Gone | Liveness::Isolated)
     }
 
     /// Epoch and address of the leader to probe; `None` if this daemon leads or none is known.
     fn remote_leader(&self) -> Option<(u64, String)> {
-        let address = self.address.clone().filter(|_| self.queries.is_none())?;
+        let address = self.address.clone().filter(|_| self.requests.is_none())?;
         Some((self.epoch, address))
     }
 }
@@ -162,15 +162,15 @@
             continue;
         };
         let sent_ms = steady_ms();
-        let reply = peers.call::<NodeReply>(&address, &NodeCall::Alive, PROBE_TIMEOUT).await;
-        if let Ok(NodeReply::Alive { daemons, fit, manifest, .. }) = &reply {
+        let reply = peers.call::<DaemonReply>(&address, &DaemonCall::Alive, PROBE_TIMEOUT).await;
+        if let Ok(DaemonReply::Alive { daemons, fit, manifest, .. }) = &reply {
             interval = probe_interval(is_underprovisioned, *daemons);
-            gateway.set_member_counts(*daemons, *fit);
+            gateway.set_daemon_counts(*daemons, *fit);
             gateway.note_proof(&address, *manifest, sent_ms).await;
         }
         let liveness = match reply {
-            Ok(NodeReply::Alive { reaches_store: true, .. }) => Some(Liveness::Healthy),
-            Ok(NodeReply::Alive { reaches_store: false, .. }) => Some(Liveness::Isolated),
+            Ok(DaemonReply::Alive { reaches_store: true, .. }) => Some(Liveness::Healthy),
+            Ok(DaemonReply::Alive { reaches_store: false, .. }) => Some(Liveness::Isolated),
             Ok(_) | Err(_) => None,
         };
         misses = if liveness.is_some() { 0 } else { misses + 1 };
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -8,6 +8,7 @@
 mod advisor_dispatcher;
 pub mod clock;
 mod commit;
+mod daemons;
 mod election;
 mod elector;
 pub mod executors;
@@ -17,7 +18,6 @@
 mod leader;
 mod leader_view;
 mod manifest;
-mod members;
 mod message;
 mod peers;
 mod platform;
@@ -39,6 +39,7 @@
 use crate::health::StoreHealth;
 
 pub use crate::advisor_dispatcher::AdvisorDispatcher;
+pub use crate::daemons::DaemonInfo;
 pub use crate::election::Candidate;
 pub use crate::election::FAILED_LEADER_TIMEOUT_MS;
 pub use crate::election::LEADER_LEASE_MS;
@@ -58,7 +59,6 @@
 pub use crate::manifest::Manifest;
 pub use crate::manifest::Queue;
 pub use crate::manifest::RelayedProof;
-pub use crate::members::Member;
 pub use crate::message::Message;
 pub use crate::message::SchedulerRequest;
 pub use crate::platform::Confirmation;
@@ -96,8 +96,8 @@
 
 impl NodeSettings {
     /// What other daemons know of this one.
-    pub fn member(&self) -> Member {
-        Member {
+    pub fn own_info(&self) -> DaemonInfo {
+        DaemonInfo {
             address: self.address.clone(),
             zone: self.zone.clone(),
             cores: self.cores,
@@ -149,7 +149,7 @@
             peers.clone(),
             election::is_underprovisioned(settings.cores),
         ));
-        let advisors = Arc::new(AdvisorDispatcher::new(
+        let advisor_dispatcher = Arc::new(AdvisorDispatcher::new(
             Arc::clone(&platform),
             peers.clone(),
             settings.address.clone(),
@@ -159,7 +159,7 @@
             platform,
             health,
             gateway: Arc::clone(&gateway),
-            advisors,
+            advisor_dispatcher,
             peers,
             stop: stop_receiver,
             leading: leading_sender,
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -13,7 +13,7 @@
 
 /// A call to another daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NodeCall {
+pub enum DaemonCall {
     /// To the leader: returns a job's state.
     State(JobId),
     /// To the leader: returns how many jobs of a queue have not started.
@@ -79,7 +79,7 @@
 
 /// A daemon's reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NodeReply {
+pub enum DaemonReply {
     /// The job's state; `None` if this daemon does not know the job.
     State(Option<JobView>),
     /// The number of jobs that have not started.
--- a/crates/node/src/store_watcher.rs
+++ b/crates/node/src/store_watcher.rs
@@ -12,13 +12,13 @@
 
 use crate::advisor_dispatcher::AdvisorDispatcher;
 use crate::clock::steady_ms;
+use crate::daemons::parse_daemons;
 use crate::election::is_underprovisioned;
 use crate::executors::Executors;
 use crate::gateway::Gateway;
 use crate::health::StoreHealth;
 use crate::inbox::InboxSender;
-use crate::members::read_members;
-use crate::peers::NodeCall;
+use crate::peers::DaemonCall;
 use crate::platform::Platform;
 use crate::platform::Row;
 use crate::platform::Rows;
@@ -38,7 +38,7 @@
 /// worker heartbeat.
 const WORKERS_POLL_INTERVAL: Duration = Duration::from_millis(400);
 /// How often the leader reads the list of daemons.
-const MEMBERS_POLL_INTERVAL: Duration = Duration::from_secs(2);
+const DAEMONS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 /// A worker that left the list is reported only after it was absent, and the list readable,
 /// for this long: after an outage entries reappear late.
 const UNLISTED_GRACE_MS: u64 = 2_500;
@@ -51,7 +51,7 @@
     /// Health of the store.
     pub health: Arc<StoreHealth>,
     /// The leader's inbox, which receives the changes.
-    pub messages: InboxSender,
+    pub inbox_sender: InboxSender,
 }
 
 impl<P: Platform> StoreWatcher<P> {
@@ -69,7 +69,7 @@
         for listed in &workers.listed {
             *zones.entry(listed.zone.clone()).or_default() += 1;
         }
-        executors.update_members(read_members(&daemons.rows));
+        executors.update_daemons(parse_daemons(&daemons.rows));
         executors.update_workers(zones);
         workers
     }
@@ -121,11 +121,11 @@
         match table {
             Table::Jobs => {
                 let Some((job, spec)) = read_row::<JobSpec>(row) else { return };
-                self.messages.notify(Event::Accepted { job, spec: Arc::new(spec) });
+                self.inbox_sender.notify(Event::Accepted { job, spec: Arc::new(spec) });
             }
             Table::Cancels => {
                 let Ok(job) = row.key.parse() else { return };
-                self.messages.notify(Event::Cancelled { job });
+                self.inbox_sender.notify(Event::Cancelled { job });
             }
             Table::Progress | Table::Duty | Table::Daemons | Table::Fences => {}
         }
@@ -160,7 +160,7 @@
             for worker in
                 unlisted_at_ms.extract_if(.., |_, at_ms| is_gone(at_ms)).map(|(worker, _)| worker)
             {
-                self.messages.notify(Event::Unlisted { worker });
+                self.inbox_sender.notify(Event::Unlisted { worker });
             }
             tokio::time::sleep(WORKERS_POLL_INTERVAL).await;
         }
@@ -176,40 +176,40 @@
         }
         for listed in changes.listed {
             unlisted_at_ms.remove(&listed.worker);
-            self.messages.notify(Event::Listed(listed));
+            self.inbox_sender.notify(Event::Listed(listed));
         }
     }
 
     /// Tracks the daemons of the pool: queries to the advisor go through them, and each new
     /// one is notified of this leader. A daemon that is cut off from the store would not
     /// learn of the leader otherwise, and could not serve its callers.
-    pub async fn track_members(
+    pub async fn track_daemons(
         self: Arc<Self>,
-        advisors: Arc<AdvisorDispatcher<P>>,
+        advisor_dispatcher: Arc<AdvisorDispatcher<P>>,
         executors: Arc<Executors<P>>,
         gateway: Arc<Gateway<P>>,
-        leader_notice: NodeCall,
+        leader_notice: DaemonCall,
     ) {
         let mut notified = BTreeSet::new();
         loop {
             match self.health.track_read(self.platform.read_all(Table::Daemons)).await {
                 Ok(rows) => {
-                    let members = read_members(&rows.rows);
-                    let known = advisors.update_members(&members);
+                    let daemons = parse_daemons(&rows.rows);
+                    let known = advisor_dispatcher.update_daemons(&daemons);
                     let candidates =
-                        members.iter().filter(|member| !is_underprovisioned(member.cores));
-                    gateway.set_member_counts(known.len() as u32, candidates.count() as u32);
-                    executors.update_members(members);
-                    self.messages.notify(Event::Advisors { count: known.len() });
+                        daemons.iter().filter(|daemon| !is_underprovisioned(daemon.cores));
+                    gateway.set_daemon_counts(known.len() as u32, candidates.count() as u32);
+                    executors.update_daemons(daemons);
+                    self.inbox_sender.notify(Event::Advisors { count: known.len() });
                     for address in known {
                         if notified.insert(address.clone()) {
-                            advisors.notify(address, leader_notice.clone());
+                            advisor_dispatcher.notify(address, leader_notice.clone());
                         }
                     }
                 }
                 Err(error) => tracing::debug!(%error, "listing the daemons failed; retrying"),
             }
-            tokio::time::sleep(MEMBERS_POLL_INTERVAL).await;
+            tokio::time::sleep(DAEMONS_POLL_INTERVAL).await;
         }
     }
 
--- a/crates/node/tests/election.rs
+++ b/crates/node/tests/election.rs
@@ -9,8 +9,8 @@
 use stoatwell_node::probe_interval;
 use stoatwell_pool::EXTENSION_WINDOW_MS;
 
-fn candidate(name: &str, store_answer_ms: u64) -> Candidate {
-    Candidate { name: name.to_owned(), cores: 0.5, link_mbps: 1_000.0, store_answer_ms }
+fn candidate(name: &str, store_latency_ms: u64) -> Candidate {
+    Candidate { name: name.to_owned(), cores: 0.5, link_mbps: 1_000.0, store_latency_ms }
 }
 
 fn lease_row(holder: &str) -> LeaderLease {
@@ -31,12 +31,12 @@
 fn a_holder_without_renewals_keeps_the_lease_until_it_expires() {
     let mut view = LeaderLeaseView::new(0);
     view.observe(Some((lease_row("other"), 10)), 1_000);
-    assert!(view.claim_ms(&candidate("me", 5), Liveness::Unknown) >= 1_000 + LEADER_LEASE_MS);
+    assert!(view.claim_due_ms(&candidate("me", 5), Liveness::Unknown) >= 1_000 + LEADER_LEASE_MS);
     view.observe(Some((lease_row("other"), 11)), 1_500);
-    assert!(view.claim_ms(&candidate("me", 5), Liveness::Unknown) >= 1_500 + LEADER_LEASE_MS);
+    assert!(view.claim_due_ms(&candidate("me", 5), Liveness::Unknown) >= 1_500 + LEADER_LEASE_MS);
     view.observe(Some((lease_row("other"), 11)), 2_500);
     assert!(
-        view.claim_ms(&candidate("me", 5), Liveness::Unknown) < 2_500 + LEADER_LEASE_MS,
+        view.claim_due_ms(&candidate("me", 5), Liveness::Unknown) < 2_500 + LEADER_LEASE_MS,
         "the same version is no renewal"
     );
 }
@@ -47,9 +47,9 @@
 fn a_free_lease_is_claimed_at_once() {
     let mut view = LeaderLeaseView::new(0);
     view.observe(Some((LeaderLease { released: true, ..lease_row("other") }, 10)), 1_000);
-    assert!(view.claim_ms(&candidate("me", 5), Liveness::Unknown) < 1_000 + 200);
+    assert!(view.claim_due_ms(&candidate("me", 5), Liveness::Unknown) < 1_000 + 200);
     view.observe(Some((lease_row("me"), 12)), 2_000);
-    assert!(view.claim_ms(&candidate("me", 5), Liveness::Unknown) < 2_000 + 200);
+    assert!(view.claim_due_ms(&candidate("me", 5), Liveness::Unknown) < 2_000 + 200);
     assert_eq!(view.next_epoch(), (12, 4));
 }
 
@@ -96,13 +96,15 @@
     for liveness in [Liveness::Gone, Liveness::Isolated] {
         let mut view = LeaderLeaseView::new(0);
         view.observe(Some((lease_row("other"), 10)), 1_000);
-        let claim_ms = view.claim_ms(&candidate("me", 5), liveness);
+        let claim_due_ms = view.claim_due_ms(&candidate("me", 5), liveness);
         assert!(
-            (1_000 + FAILED_LEADER_TIMEOUT_MS..1_900).contains(&claim_ms),
-            "{liveness}: {claim_ms}"
+            (1_000 + FAILED_LEADER_TIMEOUT_MS..1_900).contains(&claim_due_ms),
+            "{liveness}: {claim_due_ms}"
         );
         view.observe(Some((lease_row("other"), 11)), 1_500);
-        assert!(view.claim_ms(&candidate("me", 5), liveness) >= 1_500 + FAILED_LEADER_TIMEOUT_MS);
+        assert!(
+            view.claim_due_ms(&candidate("me", 5), liveness) >= 1_500 + FAILED_LEADER_TIMEOUT_MS
+        );
     }
 }
 
@@ -113,10 +115,11 @@
 fn time_without_the_store_does_not_count_against_the_holder() {
     let mut view = LeaderLeaseView::new(0);
     view.observe(Some((lease_row("other"), 10)), 1_000);
-    view.note_unwritable(5_000);
-    assert!(view.claim_ms(&candidate("me", 5), Liveness::Healthy) >= 5_000 + LEADER_LEASE_MS);
+    view.record_store_failure(5_000);
+    assert!(view.claim_due_ms(&candidate("me", 5), Liveness::Healthy) >= 5_000 + LEADER_LEASE_MS);
     assert!(
-        view.claim_ms(&candidate("me", 5), Liveness::Isolated) >= 5_000 + FAILED_LEADER_TIMEOUT_MS
+        view.claim_due_ms(&candidate("me", 5), Liveness::Isolated)
+            >= 5_000 + FAILED_LEADER_TIMEOUT_MS
     );
 }
 
@@ -140,10 +143,10 @@
     let strong = candidate("strong", 5);
     let mut view = LeaderLeaseView::new(0);
     view.observe(Some((lease_row("other"), 10)), 1_000);
-    view.note_unwritable(4_000);
+    view.record_store_failure(4_000);
     for liveness in [Liveness::Healthy, Liveness::Isolated, Liveness::Gone] {
-        assert!(view.claim_ms(&strong, liveness) >= 4_000 + FAILED_LEADER_TIMEOUT_MS);
-        assert!(view.claim_ms(&weak, liveness) > view.claim_ms(&strong, liveness) + 500);
+        assert!(view.claim_due_ms(&strong, liveness) >= 4_000 + FAILED_LEADER_TIMEOUT_MS);
+        assert!(view.claim_due_ms(&weak, liveness) > view.claim_due_ms(&strong, liveness) + 500);
     }
 }
 
@@ -154,5 +157,5 @@
     let far = Candidate { cores: 0.12, ..candidate("me", 60) };
     let mut view = LeaderLeaseView::new(0);
     view.observe(Some((lease_row("me"), 10)), 1_000);
-    assert_eq!(view.claim_ms(&far, Liveness::Unknown), 1_000);
+    assert_eq!(view.claim_due_ms(&far, Liveness::Unknown), 1_000);
 }
--- a/crates/node/tests/executors.rs
+++ b/crates/node/tests/executors.rs
@@ -8,8 +8,8 @@
 
 use stoatwell_model::WorkerId;
 use stoatwell_model::ZoneName;
+use stoatwell_node::DaemonInfo;
 use stoatwell_node::Inbox;
-use stoatwell_node::Member;
 use stoatwell_node::Message;
 use stoatwell_node::Node;
 use stoatwell_node::NodeSettings;
@@ -41,8 +41,8 @@
 const KEY: &str = "test";
 const NEVER_EXPIRES_MS: u64 = u64::MAX / 2;
 
-fn member(address: &str, zone: &str, cores: f64) -> Member {
-    Member { address: address.to_owned(), zone: ZoneName::new(zone), cores, link_mbps: 200.0 }
+fn daemon(address: &str, zone: &str, cores: f64) -> DaemonInfo {
+    DaemonInfo { address: address.to_owned(), zone: ZoneName::new(zone), cores, link_mbps: 200.0 }
 }
 
 fn callee() -> Callee {
@@ -99,9 +99,9 @@
 fn leader(platform: FakePlatform, executor: &str) -> (Executors<FakePlatform>, Inbox) {
     let (messages, inbox) = inbox();
     let peers = Peers::new(KEY, Traffic::default());
-    let me = member("127.0.0.1:1", "y", 0.000_1);
+    let me = daemon("127.0.0.1:1", "y", 0.000_1);
     let executors = Executors::new(Arc::new(platform), peers, me, 1, messages);
-    executors.update_members(vec![member(executor, "z", 0.5)]);
+    executors.update_daemons(vec![daemon(executor, "z", 0.5)]);
     executors.update_workers(BTreeMap::from([(ZoneName::new("z"), 1)]));
     (executors, inbox)
 }
@@ -206,10 +206,10 @@
 /// Guards against detours where a leader can call its few workers by itself.
 #[test]
 fn a_leader_needs_executors_by_its_processor_and_its_link() {
-    assert!(!plan::needs_executors(48, &member("a", "z", 0.25)));
-    assert!(!plan::needs_executors(350, &member("a", "z", 0.5)));
-    assert!(plan::needs_executors(1_100, &member("a", "z", 0.5)));
-    let narrow = Member { link_mbps: 2.0, ..member("a", "z", 0.5) };
+    assert!(!plan::needs_executors(48, &daemon("a", "z", 0.25)));
+    assert!(!plan::needs_executors(350, &daemon("a", "z", 0.5)));
+    assert!(plan::needs_executors(1_100, &daemon("a", "z", 0.5)));
+    let narrow = DaemonInfo { link_mbps: 2.0, ..daemon("a", "z", 0.5) };
     assert!(plan::needs_executors(48, &narrow));
 }
 
@@ -220,9 +220,9 @@
     Runtime::new().expect("a runtime").block_on(async {
         let (messages, mut inbox) = inbox();
         let peers = Peers::new(KEY, Traffic::default());
-        let me = member("127.0.0.1:1", "y", 0.5);
+        let me = daemon("127.0.0.1:1", "y", 0.5);
         let executors = Executors::new(Arc::new(FakePlatform::default()), peers, me, 1, messages);
-        executors.update_members(vec![member(&address, "z", 0.5)]);
+        executors.update_daemons(vec![daemon(&address, "z", 0.5)]);
         executors.update_workers(BTreeMap::from([(ZoneName::new("z"), 1)]));
         let zone = ZoneName::new("z");
         for (deciding_ms, through_executor) in
@@ -242,15 +242,15 @@
 /// Guards against calls that are sent through the weakest daemons or back to the leader.
 #[test]
 fn the_most_powerful_daemons_of_the_zone_execute() {
-    let leader = member("leader", "z", 0.5);
-    let members = [
+    let leader = daemon("leader", "z", 0.5);
+    let daemons = [
         leader.clone(),
-        member("weak", "z", 0.12),
-        member("strong", "z", 0.5),
-        member("far", "y", 0.5),
+        daemon("weak", "z", 0.12),
+        daemon("strong", "z", 0.5),
+        daemon("far", "y", 0.5),
     ];
-    let order = plan::executor_candidates(&ZoneName::new("z"), &members, &leader);
-    let addresses: Vec<&str> = order.iter().map(|member| member.address.as_str()).collect();
+    let order = plan::executor_candidates(&ZoneName::new("z"), &daemons, &leader);
+    let addresses: Vec<&str> = order.iter().map(|daemon| daemon.address.as_str()).collect();
     assert_eq!(addresses, ["strong", "weak"]);
     assert_eq!(plan::executors_wanted(180), 2);
     assert_eq!(plan::executors_wanted(1_000), 5);
--- a/crates/node/tests/inbox.rs
+++ b/crates/node/tests/inbox.rs
@@ -33,7 +33,7 @@
     senders.notify(Event::Cancelled { job: JobId(1) });
     senders.notify(Event::Customers { limits: Vec::new() });
     senders.notify_leadership_lost();
-    let mut budget = MessageBudget::after_decision(Duration::ZERO);
+    let mut budget = MessageBudget::for_cycle(Duration::ZERO);
     let first: Vec<Message> = receive_burst(&mut inbox, &mut budget).into_iter().take(4).collect();
     assert!(matches!(first[0], Message::Event(Event::Unlisted { .. })), "{first:?}");
     assert!(matches!(first[1], Message::Event(Event::Cancelled { .. })), "{first:?}");
@@ -49,12 +49,12 @@
     for _ in 0..BACKLOG {
         senders.notify(ordinary_event());
     }
-    let mut after_short = MessageBudget::after_decision(Duration::ZERO);
+    let mut after_short = MessageBudget::for_cycle(Duration::ZERO);
     let mut handled = receive_burst(&mut inbox, &mut after_short).len();
-    assert!(!after_short.next_burst());
-    let mut after_long = MessageBudget::after_decision(Duration::from_secs(5));
+    assert!(!after_short.start_next_burst());
+    let mut after_long = MessageBudget::for_cycle(Duration::from_secs(5));
     handled += receive_burst(&mut inbox, &mut after_long).len();
-    while after_long.next_burst() {
+    while after_long.start_next_burst() {
         handled += receive_burst(&mut inbox, &mut after_long).len();
     }
     assert_eq!(handled, BACKLOG);
@@ -68,10 +68,10 @@
     for _ in 0..BACKLOG {
         senders.notify(ordinary_event());
     }
-    let mut budget = MessageBudget::after_decision(Duration::from_secs(5));
+    let mut budget = MessageBudget::for_cycle(Duration::from_secs(5));
     let handled = receive_burst(&mut inbox, &mut budget).len();
     assert!(handled < 1_000, "{handled}");
-    assert!(budget.next_burst());
+    assert!(budget.start_next_burst());
 }
 
 /// Guards against an idle leader that is not woken by one of the two kinds of message.
