--- a/crates/node/src/accept.rs
+++ b/crates/node/src/accept.rs
@@ -1,6 +1,6 @@
 //! Group commit of submissions and cancellations to the store.
 //!
-//! Each shard has at most one transaction in flight; requests that arrive meanwhile go
+//! Each partition has at most one transaction in flight; requests that arrive meanwhile go
 //! into the next one. A write that got no response may have been applied, or may be applied
 //! later, so its callers are told neither "accepted" nor "not run" until a retry has shown
 //! which. The write is conditional on the row's absence, which makes the retry idempotent.
@@ -36,13 +36,13 @@
 /// Maximum row bytes per transaction. The store accepts 1 MB, and the rest is left for
 /// encoding overhead.
 const BATCH_BYTES_MAX: usize = 600_000;
-/// Maximum requests queued per shard. A daemon with a full queue is overloaded and rejects
+/// Maximum requests queued per partition. A daemon with a full queue is overloaded and rejects
 /// further requests immediately.
 const QUEUE_MAX: usize = 400;
-/// Delay before a write that the store refused is retried ...
+/// Delay before a write that the store refused is retried.
 const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(60);
-/// ... this many times, which outlasts the second in which a full partition drains
-/// only partially: callers are told to come back instead.
+/// Number of refusals after which a request is rejected, and its caller told to come back. That
+/// outlasts the second in which a full partition drains only partially.
 const REFUSED_ATTEMPTS_MAX: u32 = 4;
 /// Delay before a write that got no response is retried.
 const IN_DOUBT_RETRY_DELAY: Duration = Duration::from_millis(30);
@@ -68,12 +68,13 @@
 /// Queues requests and commits them in batches.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
+    /// Queues of the writer tasks, by partition.
     writers: Vec<mpsc::Sender<PendingRequest>>,
     health: Arc<StoreHealth>,
 }
 
 impl Acceptor {
-    /// Spawns one writer task per shard.
+    /// Spawns one writer task per partition.
     pub fn start(platform: Arc<impl Platform>, health: Arc<StoreHealth>) -> Self {
         let mut writers = Vec::with_capacity(PARTITIONS);
         for _ in 0..PARTITIONS {
@@ -94,7 +95,7 @@
         let (reply, replied) = oneshot::channel();
         let pending = PendingRequest { request, reply, deadline, in_doubt: false, refusals: 0 };
         let requests = match shard(Table::Jobs, &pending.request.job().to_string()) {
-            Shard::Jobs(index) => self.writers.get(index),
+            Shard::Jobs(partition) => self.writers.get(partition),
             Shard::Control => None,
         };
         if requests.is_none_or(|requests| requests.try_send(pending).is_err()) {
@@ -245,8 +246,9 @@
     }
 }
 
-/// Gives up on requests whose write got no response a second time. Their callers are told
-/// that the outcome is unknown while they still have time to retry at another daemon.
+/// Marks the requests of a write that got no response as in doubt. Requests that were in doubt
+/// already are given up: their callers are told that the outcome is unknown while they still
+/// have time to retry at another daemon.
 fn handle_no_answer(batch: &mut Vec<PendingRequest>) {
     let (unanswered_twice, unanswered_once): (Vec<PendingRequest>, Vec<PendingRequest>) =
         batch.drain(..).partition(|pending| pending.in_doubt);
@@ -259,6 +261,8 @@
     }
 }
 
+/// Counts a refusal by the store for each request, and rejects those that reached the maximum
+/// and are not in doubt.
 fn handle_refusal(batch: &mut Vec<PendingRequest>) {
     for pending in batch.iter_mut() {
         pending.refusals += 1;
--- a/crates/node/src/advisor_dispatcher.rs
+++ b/crates/node/src/advisor_dispatcher.rs
@@ -1,9 +1,12 @@
 //! Distributes queries to the advisor over many daemons.
 //!
+//! The advisor is a service of the platform that decides which workers may run a step. For
+//! each of them it grants a ticket, which a start on that worker has to carry.
+//!
 //! The advisor serves one query at a time for each daemon, and a query can take
 //! most of a second. If the leader sent them all, the advisor would be its
-//! bottleneck. So all daemons act as proxies, and queries are sent through them
-//! in order of priority.
+//! bottleneck. So each daemon acts as a proxy of the advisor, and queries are sent
+//! through the proxies in order of priority.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -27,20 +30,20 @@
 use crate::peers::DaemonReply;
 use crate::platform::Platform;
 
-/// How much longer a response may take than the advisor's own time for the query: queries
-/// that are ahead of it, and some round trips between regions.
+/// How much longer a response may take than the advisor's own time for the query. This covers
+/// queries that are ahead of it, and some round trips between regions.
 const TIMEOUT_MARGIN_MS: u64 = 600;
 /// Initial backoff of a proxy through which a query failed; doubled with each further
-/// failure. Otherwise a leader that is cut off from many daemons would lose queries
+/// failure. Without a backoff, a leader that is cut off from many daemons would lose queries
 /// through them again and again.
 const BACKOFF_MS: u64 = 2_000;
-/// Number of doublings at most, which makes half a minute.
+/// Maximum number of doublings, which makes half a minute.
 const BACKOFF_DOUBLINGS_MAX: u32 = 4;
 
 /// A failed query is retried through another proxy at once if it took no longer than this,
 /// as with a proxy that is down or unreachable, or a short query.
 const RETRY_ELAPSED_MAX_MS: u64 = 1_000;
-/// Attempts for one query in all; more than a few daemons rarely stop together.
+/// Maximum attempts for one query; more than a few daemons rarely stop together.
 const ATTEMPTS_MAX: u32 = 4;
 /// A proxy is given further queries while the advisor has less work than this left for it.
 /// This covers the round trip between regions, during which the advisor would be idle.
@@ -117,7 +120,8 @@
         });
     }
 
-    /// Queries the advisor, once a proxy is free for it. `None` if no answer came.
+    /// Asks the advisor which of these workers may run a step, once a proxy is free for the
+    /// query. Returns the workers that it allows, with their tickets; `None` if no answer came.
     pub async fn query(
         &self,
         step: StepId,
--- a/crates/node/src/commit/fences.rs
+++ b/crates/node/src/commit/fences.rs
@@ -1,4 +1,5 @@
-//! Fencing of the store's partitions that hold the rows of jobs.
+//! Fencing of the store's partitions that hold the rows of jobs. In log lines, `part` is the
+//! index of a partition.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,7 +32,7 @@
     pub incarnation: u64,
     /// Rises with each change of leader.
     pub epoch: u64,
-    /// Rises each time the same leader rewrites the fence.
+    /// Rises each time the same leader rewrites the fence; its rows differ in nothing else.
     pub beat: u64,
 }
 
--- a/crates/node/src/commit/writer.rs
+++ b/crates/node/src/commit/writer.rs
@@ -44,7 +44,7 @@
     pub fence: Fence,
     /// Versions of the fences, by partition.
     pub fence_versions: Mutex<Vec<u64>>,
-    /// The leader's inbox.
+    /// Sends the results of writes to the leader.
     pub inbox_sender: InboxSender,
 }
 
@@ -159,8 +159,11 @@
         }
     }
 
-    /// Resolves a conflict with rows of other versions than expected: fences that this leader
-    /// rewrote itself by a write whose response was lost, and jobs that exist already.
+    /// Resolves a conflict, given the rows whose versions are not the expected ones.
+    ///
+    /// A fence may have been rewritten by this leader itself, with a write whose response was
+    /// lost. Later writes then expect its new version. A submitted job may exist already; its
+    /// submission is removed from the write.
     fn resolve(&self, writes: &mut [PartitionWrite], rows: &[(Table, Row)]) -> WriteOutcome {
         for (table, row) in rows {
             if *table == Table::Fences {
@@ -213,7 +216,8 @@
         }
     }
 
-    /// Rejects submissions; nothing of them is in the store or ever will be.
+    /// Rejects the submissions in these writes and keeps the other changes. No row of a rejected
+    /// submission is in the store or ever will be.
     fn reject_submissions(&self, writes: &mut [PartitionWrite]) {
         for write in writes {
             write.puts.retain(|put| {
@@ -234,8 +238,8 @@
             let version = fence_versions.get(write.partition).copied().unwrap_or(0);
             transaction.expect.push((Table::Fences, fence_key.clone(), version));
             if rewrite_fences {
-                // With the expected version as its `beat`, the fence differs from the one that
-                // a lost write may have left.
+                // A lost write may have left a fence of this leader. The version that is expected
+                // now, used as `beat`, makes this fence differ from that one.
                 let fence = Fence { beat: version, ..self.fence.clone() };
                 transaction.put.push((Table::Fences, fence_key, encode(&fence)));
             }
--- a/crates/node/src/daemons.rs
+++ b/crates/node/src/daemons.rs
@@ -1,4 +1,4 @@
-//! The members of a pool: daemons announce themselves by a row in the store.
+//! The list of a pool's daemons: each daemon announces itself by a row in the store.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,7 +6,7 @@
 
 use crate::platform::Row;
 
-/// A daemon of the pool, as other daemons know it.
+/// A daemon's row in that list: what other daemons know of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DaemonInfo {
     /// The address for calls from other daemons.
--- a/crates/node/src/election.rs
+++ b/crates/node/src/election.rs
@@ -6,6 +6,9 @@
 //! succeed. Each candidate waits for a further delay, which is shortest for a
 //! daemon near the store with a strong processor, so no vote is needed to elect
 //! a suitable leader.
+//!
+//! The table of the row is called `duty`, as are the log messages about taking over, giving
+//! up and ending leadership.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -24,10 +27,10 @@
 /// it cannot reach the store. It is longer than the renewal interval, since a leader that
 /// is only unreachable from other daemons still renews its row.
 pub const FAILED_LEADER_TIMEOUT_MS: u64 = RENEW_INTERVAL_MS + 100;
-/// Added to [`FAILED_LEADER_TIMEOUT_MS`], in usual response times of the store.
+/// Multiple of the store's usual response time that is added to [`FAILED_LEADER_TIMEOUT_MS`].
 const FAILED_LEADER_LATENCY_FACTOR: u64 = 2;
-/// Others may see a renewal this much earlier than the leader gets the response to its
-/// write: several response times of a slow store.
+/// Other daemons may see a renewal before the leader gets the response to its write. This is
+/// the longest time in between: several response times of a slow store.
 const RENEWAL_LAG_MS: u64 = 400;
 /// A store that answers within this is near and costs no delay.
 const NEAR_STORE_LATENCY_MS: u64 = 12;
@@ -37,7 +40,8 @@
 const DISTANCE_DELAY_FACTOR: u64 = 10;
 /// Longest claim delay because of the distance to the store.
 const DISTANCE_DELAY_MAX_MS: u64 = 400;
-/// Claim delay of a machine with a quarter of a core, relative to half a core.
+/// Claim delay of a machine with a quarter of a core. The delay is a linear function of the
+/// cores and falls to 0 at half a core.
 const FEW_CORES_DELAY_MS: f64 = 40.0;
 /// Claim delay of a machine below [`LEADER_CORES_MIN`]. Scheduling 350 workers takes a
 /// quarter of a core, and a leader that cannot keep up looks alive while nothing runs.
@@ -81,8 +85,8 @@
     pub row: Option<(LeaderLease, u64)>,
     /// When the row was last seen to change.
     pub changed_ms: u64,
-    /// Since when the row can be read and written, as far as this daemon knows. While
-    /// it cannot, its holder cannot renew it either.
+    /// Since when the row can be read and written, as far as this daemon knows. While the row
+    /// cannot be written, the holder of the lease cannot renew the lease.
     pub store_available_since_ms: u64,
 }
 
@@ -124,7 +128,8 @@
         Self { row: None, changed_ms: now_ms, store_available_since_ms: now_ms }
     }
 
-    /// Records that the row could not be read, or a claim could not be written.
+    /// Records that the store failed: the row could not be read, or a claim could not be
+    /// written.
     pub fn record_store_failure(&mut self, now_ms: u64) {
         self.store_available_since_ms = now_ms;
     }
@@ -146,8 +151,8 @@
         let is_own = self.row.as_ref().is_some_and(|(row, _)| row.holder == candidate.name);
         let since_ms = self.changed_ms.max(self.store_available_since_ms);
         if is_own {
-            // No other daemon may claim the row yet, and waiting until one may would cost more
-            // time than a more suitable leader could make up for.
+            // No other daemon may claim the row yet. To wait until another one may would cost
+            // more time than a more suitable leader could make up for.
             return since_ms;
         }
         if is_free {
@@ -170,9 +175,10 @@
     /// For how long an earlier leader may keep extending the leases of workers, if this
     /// daemon claims the leader lease now.
     ///
-    /// A leader that released its lease does not, nor does a previous process of this
-    /// daemon. Any other may not know that it has been replaced, and extends leases until
-    /// [`EXTENSION_WINDOW_MS`] after its last renewal.
+    /// The holder in the row extends no more leases if it released the leader lease, or if it
+    /// was a previous process of this daemon. Any other holder possibly does not know that it
+    /// has been replaced. It extends leases until [`EXTENSION_WINDOW_MS`] after its last
+    /// renewal. The leaders before it extend leases for as long as the row says.
     pub fn earlier_extends_ms(&self, own_name: &str, now_ms: u64) -> u64 {
         let Some((row, _)) = &self.row else { return 0 };
         let unchanged_ms = now_ms.saturating_sub(self.changed_ms);
--- a/crates/node/src/elector.rs
+++ b/crates/node/src/elector.rs
@@ -37,7 +37,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Maximum attempts of a daemon to announce itself in the store.
 const ANNOUNCE_ATTEMPTS_MAX: u32 = 40;
-/// Maximum queries queued for the scheduler.
+/// Maximum requests queued for the scheduler.
 const REQUEST_QUEUE_MAX: usize = 1_024;
 
 /// Takes part in leader election for the lifetime of a daemon.
@@ -57,8 +57,9 @@
     pub peers: Peers,
     /// Becomes true when the daemon stops.
     pub stop: tokio::sync::watch::Receiver<bool>,
-    /// Publishes the scheduler's query channel while this daemon leads, `None` otherwise.
-    pub leading: tokio::sync::watch::Sender<Option<mpsc::Sender<SchedulerRequest>>>,
+    /// Publishes the channel for requests to the scheduler while this daemon leads, `None`
+    /// otherwise.
+    pub local_scheduler: tokio::sync::watch::Sender<Option<mpsc::Sender<SchedulerRequest>>>,
 }
 
 impl<P: Platform> LeaderElector<P> {
@@ -72,13 +73,13 @@
             self.settings.clone(),
         ));
         let mut view = LeaderLeaseView::new(steady_ms());
-        let mut after = None;
+        let mut read_version = None;
         loop {
             if *stop.borrow() {
                 break;
             }
             let polled = tokio::select! {
-                polled = self.poll_lease(&mut view, &mut after) => polled,
+                polled = self.poll_lease(&mut view, &mut read_version) => polled,
                 _ = stop.wait_for(|stop| *stop) => break,
             };
             if !polled || steady_ms() < self.claim_due_ms(&view) {
@@ -98,7 +99,7 @@
             };
             self.lead(held).await;
             view = LeaderLeaseView::new(steady_ms());
-            after = None;
+            read_version = None;
         }
         self.withdraw().await;
     }
@@ -121,20 +122,24 @@
         }
     }
 
+    /// The earliest time at which this daemon may claim the lease.
     fn claim_due_ms(&self, view: &LeaderLeaseView) -> u64 {
         view.claim_due_ms(&self.candidate(), self.gateway.leader_liveness(view.epoch()))
     }
 
     /// Reads the lease row once, waiting for a change as long as no claim is due. `false` if
     /// the row was not read, or the liveness of the leader changed meanwhile.
-    async fn poll_lease(&self, view: &mut LeaderLeaseView, after: &mut Option<u64>) -> bool {
+    ///
+    /// `read_version` is the store's version of the last read, after which changes are polled.
+    /// It is `None` if the next read has to be a full one.
+    async fn poll_lease(&self, view: &mut LeaderLeaseView, read_version: &mut Option<u64>) -> bool {
         let liveness = self.gateway.leader_liveness(view.epoch());
         let mut leader = self.gateway.subscribe_leader();
         let epoch = view.epoch();
-        let result = match *after {
-            None => self.health.track_read(self.read_lease(after)).await,
+        let result = match *read_version {
+            None => self.health.track_read(self.read_lease(read_version)).await,
             Some(version) => tokio::select! {
-                changes = self.health.track_read(self.poll_lease_changes(version, view, after)) => changes,
+                changes = self.health.track_read(self.poll_lease_changes(version, view, read_version)) => changes,
                 // A claim may be due earlier now.
                 _ = leader.wait_for(|view| view.liveness_of(epoch) != liveness) => return false,
             },
@@ -147,7 +152,7 @@
                 true
             }
             Err(StoreError::HistoryLost) => {
-                *after = None;
+                *read_version = None;
                 false
             }
             Err(error) => {
@@ -181,10 +186,10 @@
 
     async fn read_lease(
         &self,
-        after: &mut Option<u64>,
+        read_version: &mut Option<u64>,
     ) -> Result<Option<Option<(LeaderLease, u64)>>, StoreError> {
         let rows = self.platform.read_all(Table::Duty).await?;
-        *after = Some(rows.version);
+        *read_version = Some(rows.version);
         Ok(Some(rows.rows.iter().find_map(parse_lease_row)))
     }
 
@@ -192,12 +197,12 @@
         &self,
         version: u64,
         view: &LeaderLeaseView,
-        after: &mut Option<u64>,
+        read_version: &mut Option<u64>,
     ) -> Result<Option<Option<(LeaderLease, u64)>>, StoreError> {
         let due_ms = self.claim_due_ms(view).saturating_sub(steady_ms());
         let wait_ms = due_ms.min(LEASE_POLL_WAIT_MS);
         let rows = self.platform.poll_changes(Table::Duty, version, wait_ms).await?;
-        *after = Some(rows.version);
+        *read_version = Some(rows.version);
         let newest = rows.rows.iter().rev().find(|row| row.key == LEADER_LEASE_KEY);
         Ok(newest.map(parse_lease_row))
     }
@@ -230,6 +235,7 @@
         };
         match self.health.track_write(self.platform.transact(&transaction)).await {
             Ok(version) => {
+                // The previous holder; the name is the key in the log line.
                 let before = view.row.as_ref().map(|(row, _)| row.holder.as_str());
                 let silent_ms = steady_ms().saturating_sub(view.changed_ms);
                 let earlier_extends_ms = row.earlier_extends_ms;
@@ -249,8 +255,8 @@
         let (requests, received_requests) = mpsc::channel(REQUEST_QUEUE_MAX);
         self.gateway.observe_leader(epoch, Some(self.settings.address.clone()));
         self.gateway.set_local_leader(Some(requests.clone()));
-        self.leading.send_replace(Some(requests));
-        let lead = Leader {
+        self.local_scheduler.send_replace(Some(requests));
+        let leader = Leader {
             platform: Arc::clone(&self.platform),
             lease,
             limits: self.settings.limits,
@@ -262,8 +268,8 @@
             requests: received_requests,
             stop: self.stop.clone(),
         };
-        lead.run().await;
-        self.leading.send_replace(None);
+        leader.run().await;
+        self.local_scheduler.send_replace(None);
         self.gateway.observe_leader(epoch, None);
         self.gateway.set_local_leader(None);
         tracing::info!(epoch, "duty ended");
--- a/crates/node/src/executors/call.rs
+++ b/crates/node/src/executors/call.rs
@@ -22,13 +22,13 @@
 /// A call to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkerCall {
-    /// Extend the worker's lease and read its lists of runs.
+    /// Long poll that extends the worker's lease and reads its lists of runs.
     Hold(HoldCall),
     /// Start a run of a task.
     Start(StartCall),
     /// Stop a run of a task.
     Stop(StopCall),
-    /// Limit a run to a share of its full speed.
+    /// Limit a run to a share of its full speed, its pace.
     Pace(PaceCall),
 }
 
--- a/crates/node/src/executors/link.rs
+++ b/crates/node/src/executors/link.rs
@@ -36,14 +36,14 @@
 const GATHER_DELAY: Duration = Duration::from_millis(10);
 /// Maximum number of batches in flight. Further calls are queued for the next batch.
 const BATCHES_IN_FLIGHT_MAX: usize = 4;
-/// A queued call that is older than this is not sent, and a start that is older is not made
-/// by the executor. The leader's process was suspended or the call was delayed, and the
-/// leader may have been replaced.
+/// A queued call that is older than this is not sent, and an executor does not make a start
+/// that is older. Either the leader's process was suspended or the call was delayed, and the
+/// leader may have been replaced meanwhile.
 const CALL_AGE_MAX_MS: u64 = 700;
 /// Delay before a new session is opened after one that failed. It is doubled with each
-/// further failure ...
+/// further failure, up to [`REOPEN_DELAY_MAX`].
 const REOPEN_DELAY_MIN: Duration = Duration::from_millis(500);
-/// ... up to this.
+/// Maximum delay before a new session is opened.
 const REOPEN_DELAY_MAX: Duration = Duration::from_secs(8);
 
 /// The leader's link to one executor.
@@ -62,6 +62,7 @@
     phase: Phase,
     /// The executor's clock, and the local time at which it was received.
     clock: Option<(u64, u64)>,
+    /// Calls to send: the number, the time at which it was queued, and the call.
     queue: Vec<(u64, u64, WorkerCall)>,
     pending: HashMap<u64, PendingCall>,
     last_number: u64,
--- a/crates/node/src/executors/mod.rs
+++ b/crates/node/src/executors/mod.rs
@@ -1,10 +1,14 @@
-//! Calls to workers through other daemons.
+//! Calls to workers through other daemons, the executors.
 //!
 //! One leader decides for the whole pool. With many workers the calls cost it far more
 //! than the decisions, while other daemons are idle. So it sends its calls in batches to
-//! executors, daemons in the workers' zones, which make the calls and return the replies
-//! in batches. An executor decides nothing: calls carry the leader's fencing token, and a
-//! call whose executor is lost counts as unanswered, whatever became of it.
+//! executors. An executor is a daemon in the workers' zone; it makes the calls and returns
+//! the replies in batches. It runs no tasks, and it decides nothing: calls carry the
+//! leader's fencing token, and a call whose executor is lost counts as unanswered, whatever
+//! became of it.
+//!
+//! The leader has a *link* to each of its executors. Over a link it opens one *session*
+//! after another; a session ends with the first call to the executor that fails.
 
 pub mod call;
 mod link;
@@ -71,7 +75,8 @@
 }
 
 impl<P: Platform> Executors<P> {
-    /// Without executors; the leader makes all calls directly until members are known.
+    /// Starts without executors. The leader makes all calls directly until other daemons are
+    /// known.
     pub fn new(
         platform: Arc<P>,
         peers: Peers,
@@ -260,15 +265,15 @@
         self.busy || needs_executors(self.workers.values().sum(), &self.leader)
     }
 
-    /// The executor for a worker: always the same one while its link is open, so that
+    /// The link to the executor for a worker: always the same one while it is open, so that
     /// connections to the worker are reused. `None` if the worker is called directly.
     fn route(&self, zone: &ZoneName, worker: &WorkerId) -> Option<Arc<Link>> {
         if !self.uses_executors() || self.direct_workers.contains(worker) {
             return None;
         }
         let open = self.links.get(zone)?.iter().filter(|link| link.is_open());
-        let executor =
+        let chosen =
             open.max_by_key(|link| xxh3_64_with_seed(worker.as_str().as_bytes(), link.seed));
-        executor.cloned()
+        chosen.cloned()
     }
 }
--- a/crates/node/src/executors/plan.rs
+++ b/crates/node/src/executors/plan.rs
@@ -11,7 +11,7 @@
 const DIRECT_WORKERS_PER_MBPS: f64 = 8.0;
 /// Number of workers for each executor.
 const WORKERS_PER_EXECUTOR: usize = 200;
-/// Minimum number of executors in a zone, so that one can be lost.
+/// Minimum number of executors in a zone; with two, one can be lost.
 const EXECUTORS_MIN: usize = 2;
 
 /// Whether a leader has more workers than it can call directly.
--- a/crates/node/src/executors/session.rs
+++ b/crates/node/src/executors/session.rs
@@ -1,4 +1,5 @@
-//! The executor's side: makes the leader's calls and keeps the replies until it collects them.
+//! The executor's side: makes the leader's calls, and keeps the replies until the leader
+//! collects them.
 
 use std::sync::Arc;
 use std::sync::Mutex;
--- a/crates/node/src/gateway.rs
+++ b/crates/node/src/gateway.rs
@@ -57,8 +57,8 @@
 /// other.
 const LEADER_SUBMIT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// With at least this many daemons that are fit to lead, the others leave leading to them.
-/// It is more than one because several may be lost at once.
+/// If at least this many daemons are fit to lead, the other daemons poll the leader lease less
+/// often. It is more than one because several may be lost at once.
 const CANDIDATES_MIN: u32 = 4;
 
 /// The leader's reply to a submission.
@@ -81,9 +81,11 @@
     health: Arc<StoreHealth>,
     manifest: Arc<CurrentManifest>,
     leader: watch::Sender<LeaderView>,
+    /// Makes calls to workers if another daemon leads and uses this one as an executor.
     executor: Executor<P>,
-    /// Number of daemons in the pool, as far as the leader knows, and of those fit to lead.
+    /// Number of daemons in the pool, as last counted by the leader.
     daemon_count: AtomicU32,
+    /// Number of daemons that are fit to lead, as last counted by the leader.
     candidate_count: AtomicU32,
 }
 
@@ -129,15 +131,15 @@
         self.leader.send_modify(|view| view.observe(epoch, address));
     }
 
-    /// Records the query channel of the scheduler on this daemon; `None` if this daemon no
-    /// longer leads.
+    /// Records the channel for requests to the scheduler on this daemon; `None` if this daemon
+    /// no longer leads.
     pub(crate) fn set_local_leader(&self, requests: Option<mpsc::Sender<SchedulerRequest>>) {
         self.leader.send_modify(|view| view.set_local(requests));
     }
 
     /// Records the liveness of the leader of an epoch.
-    pub(crate) fn note_liveness(&self, epoch: u64, liveness: Liveness) {
-        self.leader.send_if_modified(|view| view.note_liveness(epoch, liveness));
+    pub(crate) fn record_liveness(&self, epoch: u64, liveness: Liveness) {
+        self.leader.send_if_modified(|view| view.record_liveness(epoch, liveness));
     }
 
     /// The liveness of the leader of an epoch.
@@ -152,8 +154,8 @@
 
     /// Sets the number of daemons and the number of them that are fit to lead, as the leader
     /// counted them.
-    pub(crate) fn set_daemon_counts(&self, members: u32, candidates: u32) {
-        self.daemon_count.store(members, Ordering::Relaxed);
+    pub(crate) fn set_daemon_counts(&self, daemons: u32, candidates: u32) {
+        self.daemon_count.store(daemons, Ordering::Relaxed);
         self.candidate_count.store(candidates, Ordering::Relaxed);
     }
 
@@ -162,8 +164,8 @@
         self.candidate_count.load(Ordering::Relaxed) >= CANDIDATES_MIN
     }
 
-    /// Whether the store responds to the leader, so that a caller that is rejected here is
-    /// served by another daemon without delay.
+    /// Whether the leader reported, when it was last probed, that the store responds to it. If
+    /// so, a caller that is rejected here is served by another daemon without delay.
     pub fn leader_reaches_store(&self) -> bool {
         self.leader.borrow().is_healthy()
     }
@@ -175,10 +177,15 @@
 
     /// Records the leader's proof that the manifest is current, and fetches the leader's
     /// manifest if it is newer. `requested_ms` is when the proof was requested from the leader.
-    pub(crate) async fn note_proof(&self, leader: &str, relayed: RelayedProof, requested_ms: u64) {
+    pub(crate) async fn record_proof(
+        &self,
+        leader: &str,
+        relayed: RelayedProof,
+        requested_ms: u64,
+    ) {
         if relayed.version <= self.manifest.newest().version {
             let proof = FreshnessProof::from_peer(relayed.version, relayed.age_ms, requested_ms);
-            self.manifest.note_proof(proof);
+            self.manifest.record_proof(proof);
             return;
         }
         let requested_ms = steady_ms();
@@ -186,7 +193,7 @@
         let Ok(DaemonReply::Manifest { manifest, proof }) = reply else { return };
         let Some(manifest) = executors::call::decode::<Manifest>(&manifest) else { return };
         self.manifest.replace_if_newer(manifest);
-        self.manifest.note_proof(FreshnessProof::from_peer(
+        self.manifest.record_proof(FreshnessProof::from_peer(
             proof.version,
             proof.age_ms,
             requested_ms,
@@ -215,7 +222,8 @@
         accepted
     }
 
-    /// Cancels a job and makes the cancellation durable; `None` if the caller has no such job.
+    /// Cancels a job and makes the cancellation durable. The outcome is [`Accepted::Yes`] also
+    /// for a job that has ended already, and `None` if the caller has no such job.
     pub async fn cancel(
         self: &Arc<Self>,
         job: JobId,
--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -34,9 +34,9 @@
 /// The same threshold as a multiple of the smoothed latency, for a store that has become
 /// slow.
 const SUSPECT_LATENCY_FACTOR: u64 = 3;
-/// Range of the timeout for a write of jobs ...
+/// Range of the timeout for a write of jobs, which is a multiple of the smoothed latency.
 const WRITE_TIMEOUT_MS: std::ops::RangeInclusive<u64> = 700..=1_500;
-/// ... which is this multiple of the smoothed latency.
+/// Timeout for a write of jobs as a multiple of the smoothed latency.
 const WRITE_TIMEOUT_LATENCY_FACTOR: u64 = 4;
 /// Weight of a new latency sample in the moving average is one over this.
 const LATENCY_SMOOTHING: u64 = 8;
@@ -125,8 +125,8 @@
         match result {
             Err(StoreError::NoAnswer | StoreError::Refused) => {
                 self.unanswered_since_ms.store(0, Ordering::Relaxed);
-                let before = self.consecutive_failures.fetch_add(1, Ordering::Relaxed);
-                if before + 1 == CONSECUTIVE_FAILURES_MAX {
+                let previous_failures = self.consecutive_failures.fetch_add(1, Ordering::Relaxed);
+                if previous_failures + 1 == CONSECUTIVE_FAILURES_MAX {
                     tracing::warn!(
                         dependency = "store",
                         "lost: new jobs are refused until it answers"
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -12,8 +12,8 @@
 
 use crate::message::Message;
 
-/// Ordinary messages handled in one burst, without yielding to other tasks. Other daemons
-/// probe the leader meanwhile, and replace one that keeps them waiting.
+/// Maximum ordinary messages in a burst: messages that are handled without yielding to other
+/// tasks. Other daemons probe the leader meanwhile, and replace one that keeps them waiting.
 const BURST_MESSAGES_MAX: usize = 256;
 
 /// The receiving half of the message queue.
@@ -30,13 +30,18 @@
     ordinary: mpsc::UnboundedSender<Message>,
 }
 
-/// Limits how many messages the leader handles in one cycle, in bursts.
+/// Limits how many messages the leader handles in one scheduling cycle.
+///
+/// A cycle handles messages and then makes one decision. Messages are handled in bursts, and
+/// between two bursts the leader yields to its other tasks. Another burst starts only while the
+/// cycle has spent less time on messages than the last decision took.
 #[derive(Debug)]
 pub struct MessageBudget {
     started: Instant,
     /// Ordinary messages handled in the current burst.
     handled_in_burst: usize,
-    /// How long the last decision took. Handling gets as much time, so that neither starves.
+    /// How long the last decision took. Handling messages gets as much time, so that neither
+    /// starves.
     min_duration: Duration,
 }
 
@@ -101,12 +106,13 @@
 }
 
 impl MessageBudget {
-    /// The budget for a cycle, given how long the decision of the previous one took.
+    /// The budget for a cycle, given how long the decision of the previous cycle took.
     pub fn for_cycle(decision_time: Duration) -> Self {
         Self { started: Instant::now(), handled_in_burst: 0, min_duration: decision_time }
     }
 
-    /// Begins another burst; returns `false` if the last one was not full or the time is up.
+    /// Starts another burst. Returns `false` if the time is up, or if the last burst was not
+    /// full, so that no messages were left.
     pub fn start_next_burst(&mut self) -> bool {
         let is_exhausted = self.handled_in_burst >= BURST_MESSAGES_MAX;
         self.handled_in_burst = 0;
--- a/crates/node/src/leader.rs
+++ b/crates/node/src/leader.rs
@@ -58,14 +58,15 @@
 
 /// Longest wait for a message before the next scheduling cycle.
 const IDLE_WAIT_MAX_MS: u64 = 50;
-/// A cycle that took at least this long is followed by a pause of the same length ...
+/// A cycle that took at least this long is followed by a pause of the same length, up to
+/// [`PAUSE_MAX`].
 const PAUSE_MIN: Duration = Duration::from_micros(300);
-/// ... but of at most this.
+/// Longest pause between two scheduling cycles.
 const PAUSE_MAX: Duration = Duration::from_millis(10);
 /// Interval between updates of the gauges.
-const MEASURE_INTERVAL_MS: u64 = 1_000;
+const GAUGE_INTERVAL_MS: u64 = 1_000;
 
-/// What the scheduler needs from its daemon.
+/// The scheduler, with what it uses of the daemon that runs it.
 #[derive(Debug)]
 pub struct Leader<P> {
     /// The store, the workers and the advisor.
@@ -82,9 +83,9 @@
     pub peers: Peers,
     /// Has the newest manifest, and answers other daemons' probes of the leader.
     pub gateway: Arc<Gateway<P>>,
-    /// What other daemons know of this one.
+    /// This daemon, as an entry of the list of daemons.
     pub own_info: DaemonInfo,
-    /// Queries of this daemon's callers and of other daemons.
+    /// Requests of this daemon's callers and of other daemons.
     pub requests: mpsc::Receiver<SchedulerRequest>,
     /// Becomes `true` when the daemon stops.
     pub stop: tokio::sync::watch::Receiver<bool>,
@@ -113,23 +114,23 @@
             epoch,
             inbox_sender.clone(),
         ));
-        let failover = Arc::clone(&executors);
-        tasks.spawn(async move { failover.replace_failed().await });
+        let replacing_executors = Arc::clone(&executors);
+        tasks.spawn(async move { replacing_executors.replace_failed().await });
         let loaded = self.load(epoch, &mut tasks, &inbox_sender, &mut inbox, &executors).await;
         let Some((mut pool, writer)) = loaded else { return };
         let mut submissions = Submissions::default();
         executors.wait_until_open().await;
         tracing::info!(epoch, took_ms = steady_ms() - started_ms, "scheduler ready");
         metrics::counter!("stoatwell_takeovers_total").increment(1);
-        let mut measured_ms = 0;
-        let mut cycle_meter = CycleTimes::default();
+        let mut gauges_updated_ms = 0;
+        let mut cycle_times = CycleTimes::default();
         let mut decision_time = Duration::ZERO;
         loop {
             let wait_ms = pool.idle_ms(steady_ms()).clamp(1, IDLE_WAIT_MAX_MS);
             let first_message = tokio::select! {
                 biased;
                 first_message = inbox.recv() => first_message,
-                Some(query) = self.requests.recv() => Some(Message::Request(query)),
+                Some(request) = self.requests.recv() => Some(Message::Request(request)),
                 () = tokio::time::sleep(Duration::from_millis(wait_ms)) => None,
             };
             let cycle_started = Instant::now();
@@ -158,8 +159,8 @@
                     return;
                 }
             }
-            while let Ok(query) = self.requests.try_recv() {
-                handle_request(&mut pool, &mut submissions, query, has_fresh_lease);
+            while let Ok(request) = self.requests.try_recv() {
+                handle_request(&mut pool, &mut submissions, request, has_fresh_lease);
             }
             let handled_at = Instant::now();
             pool.note_renewal(renewed_ms.load(Ordering::Relaxed));
@@ -181,7 +182,7 @@
                 self.execute_effect(effect, &pool, &executors, &inbox_sender, &writer, &mut tasks);
             }
             while tasks.try_join_next().is_some() {}
-            cycle_meter.add(
+            cycle_times.add(
                 handled_at - cycle_started,
                 decided_at - handled_at,
                 decided_at.elapsed(),
@@ -191,12 +192,12 @@
             if pause >= PAUSE_MIN {
                 tokio::time::sleep(pause).await;
             }
-            if steady_ms() >= measured_ms + MEASURE_INTERVAL_MS {
-                let period_ms = steady_ms() - measured_ms;
-                measured_ms = steady_ms();
-                publish_gauges(&pool, &cycle_meter);
-                executors.update_load(cycle_meter.total().as_millis() as u64, period_ms);
-                cycle_meter = CycleTimes::default();
+            if steady_ms() >= gauges_updated_ms + GAUGE_INTERVAL_MS {
+                let period_ms = steady_ms() - gauges_updated_ms;
+                gauges_updated_ms = steady_ms();
+                publish_gauges(&pool, &cycle_times);
+                executors.update_load(cycle_times.total().as_millis() as u64, period_ms);
+                cycle_times = CycleTimes::default();
                 executors.update_workers(pool.workers_by_zone());
             }
         }
@@ -263,7 +264,8 @@
         }
         let (mut job_count, mut open) = (0, 0);
         let mut specs: Vec<(JobId, JobSpec)> = jobs.rows.iter().filter_map(read_row).collect();
-        // Which jobs are within a customer's weight depends on their order of arrival.
+        // A customer's weight includes a rate of jobs. Which jobs exceed that rate depends on
+        // their order of arrival.
         specs.sort_by_key(|(_, spec)| spec.accepted_unix_ms);
         for (id, spec) in specs {
             let progress = progress_by_job.get(&id);
@@ -284,8 +286,8 @@
             workers = workers.listed.len(),
             "state restored from the store"
         );
-        for listed in workers.listed {
-            pool.handle(steady_ms(), unix_ms(), Event::Listed(listed));
+        for worker in workers.listed {
+            pool.handle(steady_ms(), unix_ms(), Event::Listed(worker));
         }
         tasks.spawn(Arc::clone(&store_watcher).watch_table(Table::Jobs, jobs.version));
         tasks.spawn(Arc::clone(&store_watcher).watch_table(Table::Cancels, cancels.version));
@@ -339,12 +341,12 @@
 
 /// Sends the customers' limits of each newer manifest to the scheduler.
 async fn forward_customers(
-    in_force: Arc<CurrentManifest>,
+    current: Arc<CurrentManifest>,
     mut version: u64,
     inbox_sender: InboxSender,
 ) {
     loop {
-        let manifest = in_force.wait_for_newer(version).await;
+        let manifest = current.wait_for_newer(version).await;
         version = manifest.version;
         inbox_sender.notify(Event::Customers { limits: customer_limits(&manifest) });
     }
@@ -393,7 +395,9 @@
                 count_event(&event);
                 pool.handle(steady_ms(), unix_ms(), event);
             }
-            Message::Request(query) => handle_request(pool, submissions, query, has_fresh_lease),
+            Message::Request(request) => {
+                handle_request(pool, submissions, request, has_fresh_lease);
+            }
         }
     }
     true
@@ -406,13 +410,15 @@
     steady_ms().saturating_sub(renewed_ms.load(Ordering::Relaxed)) < LEADER_LEASE_MS
 }
 
+/// Handles a request, and replies if it asks for a reply. A number of pending jobs is not
+/// reported without a fresh lease.
 fn handle_request(
     pool: &mut Pool,
     submissions: &mut Submissions,
-    query: SchedulerRequest,
+    request: SchedulerRequest,
     has_fresh_lease: bool,
 ) {
-    let is_handled = match query {
+    let is_handled = match request {
         SchedulerRequest::Submit(job, row, reply_sender) => {
             submissions.submit(pool, job, &row, reply_sender);
             true
@@ -447,6 +453,6 @@
         }
     };
     if !is_handled {
-        tracing::debug!("the caller of a query left before the reply");
+        tracing::debug!("cannot reply to a request: its caller has left");
     }
 }
--- a/crates/node/src/leader_view.rs
+++ b/crates/node/src/leader_view.rs
@@ -28,10 +28,10 @@
 const MISSES_MAX: u32 = 2;
 /// Probe interval of a daemon that could lead itself.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
-/// Probe interval of the other daemons, for each daemon of the pool: this is the mean time
-/// between probes that the leader gets from them ...
+/// Probe interval of the other daemons, for each daemon of the pool. It is the mean time
+/// between two probes that the leader gets from them.
 const PROBE_INTERVAL_PER_DAEMON: Duration = Duration::from_millis(10);
-/// ... and this is the longest interval of any of them.
+/// Maximum probe interval of any daemon.
 const PROBE_INTERVAL_MAX: Duration = Duration::from_secs(2);
 /// Delay before the second probe, after the first one without a response.
 const REPROBE_DELAY: Duration = Duration::from_millis(30);
@@ -64,7 +64,7 @@
 /// What a daemon knows about the current leader.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeaderView {
-    /// The scheduler's query channel, while this daemon leads.
+    /// The channel for requests to the scheduler, while this daemon leads.
     requests: Option<mpsc::Sender<SchedulerRequest>>,
     /// The highest epoch that was seen.
     epoch: u64,
@@ -87,7 +87,7 @@
         self.address = address;
     }
 
-    /// Sets the scheduler's query channel while this daemon leads, `None` afterwards.
+    /// Sets the channel for requests to the scheduler while this daemon leads, `None` afterwards.
     pub fn set_local(&mut self, requests: Option<mpsc::Sender<SchedulerRequest>>) {
         self.requests = requests;
     }
@@ -104,7 +104,7 @@
     }
 
     /// Records the liveness of an epoch's leader; returns whether it changed.
-    pub fn note_liveness(&mut self, epoch: u64, liveness: Liveness) -> bool {
+    pub fn record_liveness(&mut self, epoch: u64, liveness: Liveness) -> bool {
         if epoch != self.epoch || liveness == self.liveness {
             return false;
         }
@@ -150,12 +150,12 @@
     let mut misses = 0;
     let mut interval = PROBE_INTERVAL;
     loop {
-        let target = view.borrow_and_update().remote_leader();
-        if target != probed {
+        let leader = view.borrow_and_update().remote_leader();
+        if leader != probed {
             misses = 0;
-            probed.clone_from(&target);
+            probed.clone_from(&leader);
         }
-        let Some((epoch, address)) = target else {
+        let Some((epoch, address)) = leader else {
             if view.changed().await.is_err() {
                 return;
             }
@@ -166,7 +166,7 @@
         if let Ok(DaemonReply::Alive { daemons, fit, manifest, .. }) = &reply {
             interval = probe_interval(is_underprovisioned, *daemons);
             gateway.set_daemon_counts(*daemons, *fit);
-            gateway.note_proof(&address, *manifest, sent_ms).await;
+            gateway.record_proof(&address, *manifest, sent_ms).await;
         }
         let liveness = match reply {
             Ok(DaemonReply::Alive { reaches_store: true, .. }) => Some(Liveness::Healthy),
@@ -176,7 +176,7 @@
         misses = if liveness.is_some() { 0 } else { misses + 1 };
         let liveness = liveness.or_else(|| (misses >= MISSES_MAX).then_some(Liveness::Gone));
         if let Some(liveness) = liveness {
-            gateway.note_liveness(epoch, liveness);
+            gateway.record_liveness(epoch, liveness);
         }
         let delay = if misses == 1 { REPROBE_DELAY } else { interval };
         wait_for_next_probe(&mut view, probed.as_ref(), delay).await;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -3,6 +3,19 @@
 //! Every daemon is a gateway: it makes jobs durable in the store and reports
 //! their state. One daemon is elected leader and schedules the jobs. Daemons
 //! agree on nothing else, and all persistent state is in the store.
+//!
+//! [`Node`] is the handle of the daemon that runs in this process. The other
+//! modules use these terms:
+//!
+//! - The *manifest* is the operators' configuration of the pool: its queues, and
+//!   the customers that may call them.
+//! - An *executor* is a daemon that makes the leader's calls to workers in its
+//!   zone. It runs no tasks; workers do.
+//! - A *hold* is a long poll of a worker. It renews the worker's lease and returns
+//!   the worker's list of its runs. To *pace* a run is to limit its speed.
+//! - The *advisor* is a service of the platform that decides which workers may
+//!   run a step. For each of them it grants a *ticket*, which a start on that
+//!   worker has to carry.
 
 mod accept;
 mod advisor_dispatcher;
@@ -95,7 +108,7 @@
 }
 
 impl NodeSettings {
-    /// What other daemons know of this one.
+    /// This daemon's row in the list of the pool's daemons.
     pub fn own_info(&self) -> DaemonInfo {
         DaemonInfo {
             address: self.address.clone(),
@@ -113,7 +126,8 @@
     manifest: Arc<CurrentManifest>,
     stop: tokio::sync::watch::Sender<bool>,
     stopped: tokio::sync::watch::Receiver<bool>,
-    leading: tokio::sync::watch::Receiver<Option<tokio::sync::mpsc::Sender<SchedulerRequest>>>,
+    local_scheduler:
+        tokio::sync::watch::Receiver<Option<tokio::sync::mpsc::Sender<SchedulerRequest>>>,
 }
 
 impl<P: Platform> Node<P> {
@@ -132,15 +146,15 @@
         ));
         let (stop, stop_receiver) = tokio::sync::watch::channel(false);
         let (stopped_sender, stopped) = tokio::sync::watch::channel(false);
-        let (leading_sender, leading) = tokio::sync::watch::channel(None);
+        let (local_scheduler_sender, local_scheduler) = tokio::sync::watch::channel(None);
         tokio::spawn(manifest::watch(
             Arc::clone(&platform),
             Arc::clone(&health),
             Arc::clone(&manifest),
         ));
-        let leading_receiver = leading.clone();
+        let local_scheduler_receiver = local_scheduler.clone();
         tokio::spawn(manifest::confirm(Arc::clone(&platform), Arc::clone(&manifest), move || {
-            leading_receiver.borrow().is_some()
+            local_scheduler_receiver.borrow().is_some()
         }));
         tokio::spawn(serve_peers(listener, settings.peer_key.clone(), Arc::clone(&gateway)));
         tokio::spawn(health::probe(Arc::clone(&platform), Arc::clone(&health)));
@@ -154,7 +168,7 @@
             peers.clone(),
             settings.address.clone(),
         ));
-        let watch = LeaderElector {
+        let elector = LeaderElector {
             settings: settings.clone(),
             platform,
             health,
@@ -162,15 +176,15 @@
             advisor_dispatcher,
             peers,
             stop: stop_receiver,
-            leading: leading_sender,
+            local_scheduler: local_scheduler_sender,
         };
         tokio::spawn(async move {
-            watch.run().await;
+            elector.run().await;
             if stopped_sender.send(true).is_err() {
-                tracing::debug!("the node was dropped before its scheduler ended");
+                tracing::debug!("the daemon's handle was dropped before its scheduler ended");
             }
         });
-        Self { gateway, manifest, stop, stopped, leading }
+        Self { gateway, manifest, stop, stopped, local_scheduler }
     }
 
     /// The gateway that answers callers.
@@ -178,14 +192,15 @@
         &self.gateway
     }
 
-    /// The manifest by which callers are admitted.
+    /// The manifest by which callers are authenticated.
     pub fn manifest(&self) -> &Arc<CurrentManifest> {
         &self.manifest
     }
 
-    /// The scheduler's query channel; `None` while another daemon leads.
+    /// The channel for requests to the scheduler on this daemon; `None` while another daemon
+    /// leads.
     pub fn scheduler(&self) -> Option<tokio::sync::mpsc::Sender<SchedulerRequest>> {
-        self.leading.borrow().clone()
+        self.local_scheduler.borrow().clone()
     }
 
     /// Releases the leader lease, if it is held, and waits until that is done. Callers are
--- a/crates/node/src/manifest/current.rs
+++ b/crates/node/src/manifest/current.rs
@@ -64,7 +64,7 @@
     }
 
     /// Merges a proof with the present one.
-    pub fn note_proof(&self, proof: FreshnessProof) {
+    pub fn record_proof(&self, proof: FreshnessProof) {
         self.view.send_if_modified(|view| {
             view.proof = view.proof.merge(proof);
             // No task waits for a change of the proof.
--- a/crates/node/src/manifest/watch.rs
+++ b/crates/node/src/manifest/watch.rs
@@ -34,21 +34,21 @@
     health: Arc<StoreHealth>,
     current: Arc<CurrentManifest>,
 ) {
-    let mut after = None;
+    let mut read_version = None;
     loop {
-        let result = match after {
+        let result = match read_version {
             None => platform.manifest().await,
             Some(version) => platform.poll_manifest(version, POLL_WAIT_MS).await,
         };
         health.record_result(&result);
         match result {
             Ok((manifest, version)) => {
-                after = Some(version);
+                read_version = Some(version);
                 if let Some(manifest) = manifest {
                     current.replace_if_newer(manifest);
                 }
             }
-            Err(StoreError::HistoryLost) => after = None,
+            Err(StoreError::HistoryLost) => read_version = None,
             Err(error) => {
                 tracing::debug!(%error, "polling the manifest failed; retrying");
                 sleep(RETRY_DELAY).await;
@@ -91,12 +91,12 @@
             let confirmation = platform.confirm_manifest(manifest.row_version);
             match timeout(CONFIRM_TIMEOUT, confirmation).await {
                 Ok(Ok(Confirmation::Newest)) => {
-                    current.note_proof(FreshnessProof::from_store(manifest.version, sent_ms));
+                    current.record_proof(FreshnessProof::from_store(manifest.version, sent_ms));
                 }
                 Ok(Ok(Confirmation::Replaced(Some(newer)))) => {
                     let version = newer.version;
                     current.replace_if_newer(newer);
-                    current.note_proof(FreshnessProof::from_store(version, sent_ms));
+                    current.record_proof(FreshnessProof::from_store(version, sent_ms));
                 }
                 Ok(Ok(Confirmation::Replaced(None))) => {
                     tracing::warn!(
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -7,7 +7,8 @@
 use stoatwell_pool::PoolDump;
 use tokio::sync::oneshot;
 
-/// A query to the scheduler, or a notification without a reply.
+/// A request to the scheduler from a daemon: a query, a command, or a notification. Those with
+/// a sender get a reply.
 #[derive(Debug)]
 pub enum SchedulerRequest {
     /// Asks for a job's state; the reply is `None` if the scheduler does not know the job.
@@ -31,7 +32,7 @@
 pub enum Message {
     /// An event that changes the pool's state.
     Event(Event),
-    /// A query from a caller's daemon.
+    /// A request from this daemon or another one.
     Request(SchedulerRequest),
     /// This daemon no longer holds the leader lease.
     LeadershipLost,
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -52,7 +52,8 @@
         /// The leader's address for calls from other daemons.
         address: String,
     },
-    /// To any daemon: asks the advisor through it which of these workers may run a step.
+    /// To any daemon: asks the advisor which of these workers may run a step, and returns its
+    /// answer.
     Advise {
         /// The step to run.
         step: StepId,
@@ -61,7 +62,7 @@
         /// Maximum time until the reply.
         limit_ms: u64,
     },
-    /// To an executor: makes calls to workers.
+    /// To an executor, a daemon that makes calls to workers for the leader: makes these calls.
     Execute {
         /// The leader's session with this executor.
         session: SessionId,
@@ -84,17 +85,18 @@
     State(Option<JobView>),
     /// The number of jobs that have not started.
     Pending(u64),
-    /// The granted workers with their tickets; `None` if the advisor did not answer.
+    /// The workers that the advisor allows, each with the ticket that a start on it has to
+    /// carry; `None` if the advisor did not answer.
     Advised(Option<Vec<(WorkerId, String)>>),
-    /// The outcome of a submission or cancellation.
+    /// The outcome of a submission, or of a cancellation.
     Submitted(Accepted),
     /// This daemon leads.
     Alive {
         /// Whether the store responds to it.
         reaches_store: bool,
-        /// The number of daemons that it knows.
+        /// The number of daemons in the pool that it knows.
         daemons: u32,
-        /// How many of them are fit to lead.
+        /// The number of candidates: how many of these daemons are fit to lead.
         fit: u32,
         /// The proof of how long ago its manifest was the newest.
         manifest: RelayedProof,
@@ -108,7 +110,8 @@
     },
     /// Acknowledges a notification or a batch of calls.
     Noted,
-    /// This daemon does not lead, or a newer session replaced the caller's.
+    /// This daemon does not do what the call asks: it does not lead, a newer session replaced
+    /// the caller's, or a batch could not be decoded.
     NotScheduler,
     /// The replies of workers.
     Collected {
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -2,7 +2,7 @@
 //!
 //! It has three parts: the store, which keeps rows in a few tables and supports transactions
 //! that are conditional on row versions; the workers, which run tasks; and the advisor, which
-//! decides which workers may run a step.
+//! decides which workers may run a step and grants a ticket for each of them.
 
 use stoatwell_model::WorkerId;
 use stoatwell_pool::CallError;
@@ -36,7 +36,9 @@
     Fences,
 }
 
-/// A group of rows whose transactions the store executes one after another.
+/// A group of rows whose transactions the store executes one after another: one of the
+/// [`PARTITIONS`](stoatwell_pool::PARTITIONS) with the rows of jobs, or the group of all other
+/// rows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Shard {
     /// The leader lease and the list of daemons.
@@ -179,7 +181,8 @@
         row_version: u64,
     ) -> impl Future<Output = Result<Confirmation, StoreError>> + Send;
 
-    /// Renews the lease of a worker and reads its lists.
+    /// Renews the lease of a worker and reads the lists of its runs. The worker may keep the call
+    /// waiting until a run ends.
     fn hold(&self, call: &HoldCall) -> impl Future<Output = Result<HoldReply, CallError>> + Send;
 
     /// Starts a run on a worker.
@@ -189,10 +192,11 @@
     /// Stops a run on a worker.
     fn stop(&self, call: &StopCall) -> impl Future<Output = Result<(), CallError>> + Send;
 
-    /// Throttles a run to a share of its full speed.
+    /// Throttles a run to a share of its full speed, its pace.
     fn pace(&self, call: &PaceCall) -> impl Future<Output = Result<(), CallError>> + Send;
 
-    /// Asks the advisor which of these workers may run a step; `None` if it did not answer.
+    /// Asks the advisor which of these workers may run a step. Returns the allowed ones, each
+    /// with a ticket for the start; `None` if the advisor did not answer.
     fn advise(
         &self,
         step: StepId,
--- a/crates/node/src/store_watcher.rs
+++ b/crates/node/src/store_watcher.rs
@@ -39,8 +39,8 @@
 const WORKERS_POLL_INTERVAL: Duration = Duration::from_millis(400);
 /// How often the leader reads the list of daemons.
 const DAEMONS_POLL_INTERVAL: Duration = Duration::from_secs(2);
-/// A worker that left the list is reported only after it was absent, and the list readable,
-/// for this long: after an outage entries reappear late.
+/// A worker that left the list is reported only after this time, in which it was absent and
+/// the list was readable. After an outage, entries reappear late.
 const UNLISTED_GRACE_MS: u64 = 2_500;
 
 /// Reads the stored state and watches it for changes, for one leader.
@@ -50,7 +50,7 @@
     pub platform: Arc<P>,
     /// Health of the store.
     pub health: Arc<StoreHealth>,
-    /// The leader's inbox, which receives the changes.
+    /// Sends the changes to the leader.
     pub inbox_sender: InboxSender,
 }
 
@@ -66,8 +66,8 @@
         let daemons = self.retry_until_ok(|| self.platform.read_all(Table::Daemons));
         let (workers, daemons) = tokio::join!(self.workers(), daemons);
         let mut zones = BTreeMap::new();
-        for listed in &workers.listed {
-            *zones.entry(listed.zone.clone()).or_default() += 1;
+        for worker in &workers.listed {
+            *zones.entry(worker.zone.clone()).or_default() += 1;
         }
         executors.update_daemons(parse_daemons(&daemons.rows));
         executors.update_workers(zones);
@@ -77,8 +77,8 @@
     /// Reads a table at a version or later.
     ///
     /// A store that lags behind may return the state from before this daemon claimed the
-    /// leader lease. The previous leader wrote until then, and a start of its that is missing
-    /// from the state read would be repeated.
+    /// leader lease. The previous leader wrote until then. If a start that it recorded were
+    /// missing from the state read, the start would be repeated.
     pub async fn read_at_least(&self, table: Table, version: u64) -> Rows {
         loop {
             let rows = self.retry_until_ok(|| self.platform.read_all(table)).await;
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Polls a table for changes and forwards each new row to the leader's inbox.
+    /// Polls a table for changes after a version, and forwards each new row to the leader's
+    /// inbox.
     pub async fn watch_table(self: Arc<Self>, table: Table, mut after: u64) {
         loop {
             let poll = self.platform.poll_changes(table, after, POLL_WAIT_MS);
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Polls the list of workers and forwards each change to the leader's inbox. A removal is
-    /// forwarded only after a grace period.
+    /// Polls the list of workers for changes after a version, and forwards each change to the
+    /// leader's inbox. A removal is forwarded only after a grace period.
     pub async fn watch_workers(self: Arc<Self>, mut after: u64) {
         let mut unlisted_at_ms: BTreeMap<WorkerId, u64> = BTreeMap::new();
         let mut readable_since_ms = steady_ms();
