--- a/crates/node/src/election.rs
+++ b/crates/node/src/election.rs
@@ -178,7 +178,7 @@
     /// The holder in the row extends no more leases if it released the leader lease, or if it
     /// was a previous process of this daemon. Any other holder possibly does not know that it
     /// has been replaced. It extends leases until [`EXTENSION_WINDOW_MS`] after its last
-    /// renewal. The leaders before it extend leases for as long as the row says.
+    /// renewal. The leaders before it may do so for as long as the row says.
     pub fn earlier_extends_ms(&self, own_name: &str, now_ms: u64) -> u64 {
         let Some((row, _)) = &self.row else { return 0 };
         let unchanged_ms = now_ms.saturating_sub(self.changed_ms);
--- a/crates/node/src/gateway.rs
+++ b/crates/node/src/gateway.rs
@@ -57,8 +57,8 @@
 /// other.
 const LEADER_SUBMIT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// If at least this many daemons are fit to lead, the other daemons poll the leader lease less
-/// often. It is more than one because several may be lost at once.
+/// If at least this many daemons are fit to lead, the other daemons poll the lease of a healthy
+/// leader less often. It is more than one because several may be lost at once.
 const CANDIDATES_MIN: u32 = 4;
 
 /// The leader's reply to a submission.
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -42,7 +42,7 @@
     handled_in_burst: usize,
     /// How long the last decision took. Handling messages gets as much time, so that neither
     /// starves.
-    min_duration: Duration,
+    time_limit: Duration,
 }
 
 /// Creates a message queue.
@@ -108,7 +108,7 @@
 impl MessageBudget {
     /// The budget for a cycle, given how long the decision of the previous cycle took.
     pub fn for_cycle(decision_time: Duration) -> Self {
-        Self { started: Instant::now(), handled_in_burst: 0, min_duration: decision_time }
+        Self { started: Instant::now(), handled_in_burst: 0, time_limit: decision_time }
     }
 
     /// Starts another burst. Returns `false` if the time is up, or if the last burst was not
@@ -116,6 +116,6 @@
     pub fn start_next_burst(&mut self) -> bool {
         let is_exhausted = self.handled_in_burst >= BURST_MESSAGES_MAX;
         self.handled_in_burst = 0;
-        is_exhausted && self.started.elapsed() < self.min_duration
+        is_exhausted && self.started.elapsed() < self.time_limit
     }
 }
--- a/crates/node/src/leader.rs
+++ b/crates/node/src/leader.rs
@@ -418,6 +418,7 @@
     request: SchedulerRequest,
     has_fresh_lease: bool,
 ) {
+    // `false` only if a reply could not be sent.
     let is_handled = match request {
         SchedulerRequest::Submit(job, row, reply_sender) => {
             submissions.submit(pool, job, &row, reply_sender);
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -7,8 +7,8 @@
 use stoatwell_pool::PoolDump;
 use tokio::sync::oneshot;
 
-/// A request to the scheduler from a daemon: a query, a command, or a notification. Those with
-/// a sender get a reply.
+/// A request to the scheduler from a daemon: a query, a command, or a notification. A
+/// reply is sent through the variant's sender, which is dropped if there is none.
 #[derive(Debug)]
 pub enum SchedulerRequest {
     /// Asks for a job's state; the reply is `None` if the scheduler does not know the job.
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -62,7 +62,7 @@
         /// Maximum time until the reply.
         limit_ms: u64,
     },
-    /// To an executor, a daemon that makes calls to workers for the leader: makes these calls.
+    /// To an executor: makes these calls to workers for the leader.
     Execute {
         /// The leader's session with this executor.
         session: SessionId,
--- a/crates/node/src/store_watcher.rs
+++ b/crates/node/src/store_watcher.rs
@@ -196,13 +196,13 @@
             match self.health.track_read(self.platform.read_all(Table::Daemons)).await {
                 Ok(rows) => {
                     let daemons = parse_daemons(&rows.rows);
-                    let known = advisor_dispatcher.update_daemons(&daemons);
+                    let addresses = advisor_dispatcher.update_daemons(&daemons);
                     let candidates =
                         daemons.iter().filter(|daemon| !is_underprovisioned(daemon.cores));
-                    gateway.set_daemon_counts(known.len() as u32, candidates.count() as u32);
+                    gateway.set_daemon_counts(addresses.len() as u32, candidates.count() as u32);
                     executors.update_daemons(daemons);
-                    self.inbox_sender.notify(Event::Advisors { count: known.len() });
-                    for address in known {
+                    self.inbox_sender.notify(Event::Advisors { count: addresses.len() });
+                    for address in addresses {
                         if notified.insert(address.clone()) {
                             advisor_dispatcher.notify(address, leader_notice.clone());
                         }
--- a/crates/node/tests/daemons.rs
+++ b/crates/node/tests/daemons.rs
@@ -144,8 +144,8 @@
     let second = start("b", &store).await;
     wait_until("the next leader", 3_000, || second.scheduler().is_some()).await;
     let (reply_sender, reply) = tokio::sync::oneshot::channel();
-    let queries = second.scheduler().expect("it leads");
-    queries
+    let requests = second.scheduler().expect("it leads");
+    requests
         .send(SchedulerRequest::State(JobId(7), reply_sender))
         .await
         .expect("the scheduler is running");
