--- a/crates/node/src/accept.rs
+++ b/crates/node/src/accept.rs
@@ -1,6 +1,6 @@
 //! Group commit of submissions and cancellations to the store.
 //!
-//! Each shard has at most one transaction in flight; requests that arrive meanwhile go
+//! Each partition has at most one transaction in flight; requests that arrive meanwhile go
 //! into the next one. A write that got no response may have been applied, or may be applied
 //! later, so its callers are told neither "accepted" nor "not run" until a retry has shown
 //! which. The write is conditional on the row's absence, which makes the retry idempotent.
@@ -36,13 +36,13 @@
 /// Maximum row bytes per transaction. The store accepts 1 MB, and the rest is left for
 /// encoding overhead.
 const BATCH_BYTES_MAX: usize = 600_000;
-/// Maximum requests queued per shard. A daemon with a full queue is overloaded and rejects
+/// Maximum requests queued per partition. A daemon with a full queue is overloaded and rejects
 /// further requests immediately.
 const QUEUE_MAX: usize = 400;
-/// Delay before a write that the store refused is retried ...
+/// Delay before a write that the store refused is retried.
 const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(60);
-/// ... this many times, which outlasts the second in which a full partition drains
-/// only partially: callers are told to come back instead.
+/// Number of refusals after which a request is rejected, and its caller told to come back. That
+/// outlasts the second in which a full partition drains only partially.
 const REFUSED_ATTEMPTS_MAX: u32 = 4;
 /// Delay before a write that got no response is retried.
 const IN_DOUBT_RETRY_DELAY: Duration = Duration::from_millis(30);
@@ -68,20 +68,21 @@
 /// Queues requests and commits them in batches.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
-    shards: Vec<mpsc::Sender<PendingRequest>>,
+    /// Queues of the writer tasks, by partition.
+    writers: Vec<mpsc::Sender<PendingRequest>>,
     health: Arc<StoreHealth>,
 }
 
 impl Acceptor {
-    /// Spawns one writer task per shard.
+    /// Spawns one writer task per partition.
     pub fn start(platform: Arc<impl Platform>, health: Arc<StoreHealth>) -> Self {
-        let mut shards = Vec::with_capacity(PARTITIONS);
+        let mut writers = Vec::with_capacity(PARTITIONS);
         for _ in 0..PARTITIONS {
             let (requests, queue) = mpsc::channel(QUEUE_MAX);
             tokio::spawn(run_writer(Arc::clone(&platform), Arc::clone(&health), queue));
-            shards.push(requests);
+            writers.push(requests);
         }
-        Self { shards, health }
+        Self { writers, health }
     }
 
     /// Makes one request durable. Returns [`Accepted::No`] without a write if the store is
@@ -94,7 +95,7 @@
         let (reply, replied) = oneshot::channel();
         let pending = PendingRequest { request, reply, deadline, in_doubt: false, refusals: 0 };
         let requests = match shard(Table::Jobs, &pending.request.job().to_string()) {
-            Shard::Jobs(index) => self.shards.get(index),
+            Shard::Jobs(partition) => self.writers.get(partition),
             Shard::Control => None,
         };
         if requests.is_none_or(|requests| requests.try_send(pending).is_err()) {
@@ -155,12 +156,12 @@
                 }
             }
             Err(StoreError::NoAnswer) => {
-                give_up_in_doubt(&mut batch);
+                handle_no_answer(&mut batch);
                 tracing::warn!(items = batch.len(), "store did not respond to a write; retrying");
                 tokio::time::sleep(IN_DOUBT_RETRY_DELAY).await;
             }
             Err(StoreError::Refused | StoreError::HistoryLost) => {
-                record_refusals(&mut batch);
+                handle_refusal(&mut batch);
                 tokio::time::sleep(REFUSED_RETRY_DELAY).await;
             }
         }
@@ -245,9 +246,10 @@
     }
 }
 
-/// Gives up on requests whose write got no response a second time. Their callers are told
-/// that the outcome is unknown while they still have time to retry at another daemon.
-fn give_up_in_doubt(batch: &mut Vec<PendingRequest>) {
+/// Marks the requests of a write that got no response as in doubt. Requests that were in doubt
+/// already are given up: their callers are told that the outcome is unknown while they still
+/// have time to retry at another daemon.
+fn handle_no_answer(batch: &mut Vec<PendingRequest>) {
     let (unanswered_twice, unanswered_once): (Vec<PendingRequest>, Vec<PendingRequest>) =
         batch.drain(..).partition(|pending| pending.in_doubt);
     *batch = unanswered_once;
@@ -259,7 +261,9 @@
     }
 }
 
-fn record_refusals(batch: &mut Vec<PendingRequest>) {
+/// Counts a refusal by the store for each request, and rejects those that reached the maximum
+/// and are not in doubt.
+fn handle_refusal(batch: &mut Vec<PendingRequest>) {
     for pending in batch.iter_mut() {
         pending.refusals += 1;
     }
--- a/crates/node/src/commit/writer.rs
+++ b/crates/node/src/commit/writer.rs
@@ -44,8 +44,8 @@
     pub fence: Fence,
     /// Versions of the fences, by partition.
     pub fence_versions: Mutex<Vec<u64>>,
-    /// The leader's inbox.
-    pub messages: InboxSender,
+    /// Sends the results of writes to the leader.
+    pub inbox_sender: InboxSender,
 }
 
 /// The outcome of one attempt to write.
@@ -115,7 +115,7 @@
                 WriteOutcome::Refused => {
                     refusals += 1;
                     if refusals >= REFUSALS_MAX && !in_doubt {
-                        self.reject_all(&mut writes);
+                        self.reject_submissions(&mut writes);
                     }
                 }
             }
@@ -159,8 +159,11 @@
         }
     }
 
-    /// Resolves a conflict with rows of other versions than expected: fences that this leader
-    /// rewrote itself by a write whose response was lost, and jobs that exist already.
+    /// Resolves a conflict, given the rows whose versions are not the expected ones.
+    ///
+    /// A fence may have been rewritten by this leader itself, with a write whose response was
+    /// lost. Later writes then expect its new version. A submitted job may exist already; its
+    /// submission is removed from the write.
     fn resolve(&self, writes: &mut [PartitionWrite], rows: &[(Table, Row)]) -> WriteOutcome {
         for (table, row) in rows {
             if *table == Table::Fences {
@@ -197,7 +200,7 @@
                 let accepted = existing_job_outcome(put.job, &encode(spec.as_ref()), rows);
                 put.submission = None;
                 if accepted != Accepted::Yes {
-                    self.messages.notify(Event::Rejected { job: put.job, accepted });
+                    self.inbox_sender.notify(Event::Rejected { job: put.job, accepted });
                 }
                 accepted == Accepted::Yes
             });
@@ -209,17 +212,18 @@
     fn notify_in_doubt(&self, writes: &[PartitionWrite]) {
         let puts = writes.iter().flat_map(|write| &write.puts);
         for put in puts.filter(|put| put.submission.is_some()) {
-            self.messages.notify(Event::InDoubt { job: put.job });
+            self.inbox_sender.notify(Event::InDoubt { job: put.job });
         }
     }
 
-    /// Rejects submissions; nothing of them is in the store or ever will be.
-    fn reject_all(&self, writes: &mut [PartitionWrite]) {
+    /// Rejects the submissions in these writes and keeps the other changes. No row of a rejected
+    /// submission is in the store or ever will be.
+    fn reject_submissions(&self, writes: &mut [PartitionWrite]) {
         for write in writes {
             write.puts.retain(|put| {
                 if put.submission.is_some() {
                     let accepted = Accepted::No;
-                    self.messages.notify(Event::Rejected { job: put.job, accepted });
+                    self.inbox_sender.notify(Event::Rejected { job: put.job, accepted });
                 }
                 put.submission.is_none()
             });
@@ -234,8 +238,8 @@
             let version = fence_versions.get(write.partition).copied().unwrap_or(0);
             transaction.expect.push((Table::Fences, fence_key.clone(), version));
             if rewrite_fences {
-                // With the expected version as its `beat`, the fence differs from the one that
-                // a lost write may have left.
+                // A lost write may have left a fence of this leader. The version that is expected
+                // now, used as `beat`, makes this fence differ from that one.
                 let fence = Fence { beat: version, ..self.fence.clone() };
                 transaction.put.push((Table::Fences, fence_key, encode(&fence)));
             }
@@ -272,10 +276,10 @@
     }
 
     fn notify_committed(&self, batch: u64, partition: usize) {
-        self.messages.notify(Event::Committed { batch, partition });
+        self.inbox_sender.notify(Event::Committed { batch, partition });
     }
 
     fn notify_leadership_lost(&self) {
-        self.messages.notify_leadership_lost();
+        self.inbox_sender.notify_leadership_lost();
     }
 }
--- a/crates/node/src/election.rs
+++ b/crates/node/src/election.rs
@@ -6,6 +6,9 @@
 //! succeed. Each candidate waits for a further delay, which is shortest for a
 //! daemon near the store with a strong processor, so no vote is needed to elect
 //! a suitable leader.
+//!
+//! The table of the row is called `duty`, as are the log messages about taking over, giving
+//! up and ending leadership.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -24,20 +27,21 @@
 /// it cannot reach the store. It is longer than the renewal interval, since a leader that
 /// is only unreachable from other daemons still renews its row.
 pub const FAILED_LEADER_TIMEOUT_MS: u64 = RENEW_INTERVAL_MS + 100;
-/// Added to [`FAILED_LEADER_TIMEOUT_MS`], in usual response times of the store.
-const FAILED_LEADER_RESPONSE_TIMES: u64 = 2;
-/// Others may see a renewal this much earlier than the leader gets the response to its
-/// write: several response times of a slow store.
+/// Multiple of the store's usual response time that is added to [`FAILED_LEADER_TIMEOUT_MS`].
+const FAILED_LEADER_LATENCY_FACTOR: u64 = 2;
+/// Other daemons may see a renewal before the leader gets the response to its write. This is
+/// the longest time in between: several response times of a slow store.
 const RENEWAL_LAG_MS: u64 = 400;
 /// A store that answers within this is near and costs no delay.
-const NEAR_ANSWER_MS: u64 = 12;
-/// Claim delay for each millisecond of response time beyond [`NEAR_ANSWER_MS`]. Daemons in
+const NEAR_STORE_LATENCY_MS: u64 = 12;
+/// Claim delay for each millisecond of response time beyond [`NEAR_STORE_LATENCY_MS`]. Daemons in
 /// other regions have some 24 ms more and so wait about 240 ms, long enough to see
 /// the claim of a nearer daemon.
 const DISTANCE_DELAY_FACTOR: u64 = 10;
 /// Longest claim delay because of the distance to the store.
 const DISTANCE_DELAY_MAX_MS: u64 = 400;
-/// Claim delay of a machine with a quarter of a core, relative to half a core.
+/// Claim delay of a machine with a quarter of a core. The delay is a linear function of the
+/// cores and falls to 0 at half a core.
 const FEW_CORES_DELAY_MS: f64 = 40.0;
 /// Claim delay of a machine below [`LEADER_CORES_MIN`]. Scheduling 350 workers takes a
 /// quarter of a core, and a leader that cannot keep up looks alive while nothing runs.
@@ -81,9 +85,9 @@
     pub row: Option<(LeaderLease, u64)>,
     /// When the row was last seen to change.
     pub changed_ms: u64,
-    /// Since when the row can be read and written, as far as this daemon knows. While
-    /// it cannot, its holder cannot renew it either.
-    pub writable_since_ms: u64,
+    /// Since when the row can be read and written, as far as this daemon knows. While the row
+    /// cannot be written, the holder of the lease cannot renew the lease.
+    pub store_available_since_ms: u64,
 }
 
 /// The properties of a daemon that determine how soon it may claim the leader lease.
@@ -96,13 +100,13 @@
     /// Bandwidth of its machine's network link, in Mbit/s.
     pub link_mbps: f64,
     /// The store's usual response time.
-    pub store_answer_ms: u64,
+    pub store_latency_ms: u64,
 }
 
 impl Candidate {
     /// How long this daemon waits, once the lease is free, for more suitable ones to claim it.
     pub fn claim_delay_ms(&self) -> u64 {
-        let excess_ms = self.store_answer_ms.saturating_sub(NEAR_ANSWER_MS);
+        let excess_ms = self.store_latency_ms.saturating_sub(NEAR_STORE_LATENCY_MS);
         let distance_ms = (excess_ms * DISTANCE_DELAY_FACTOR).min(DISTANCE_DELAY_MAX_MS);
         let few_cores_ms = (FEW_CORES_DELAY_MS * (0.5 - self.cores) / 0.25).max(0.0) as u64;
         let slow_link_ms = if self.link_mbps < SLOW_LINK_MBPS { SLOW_LINK_DELAY_MS } else { 0 };
@@ -121,12 +125,13 @@
 impl LeaderLeaseView {
     /// The view of a daemon that has not read the row yet.
     pub fn new(now_ms: u64) -> Self {
-        Self { row: None, changed_ms: now_ms, writable_since_ms: now_ms }
+        Self { row: None, changed_ms: now_ms, store_available_since_ms: now_ms }
     }
 
-    /// Records that the row could not be read, or a claim could not be written.
-    pub fn note_unwritable(&mut self, now_ms: u64) {
-        self.writable_since_ms = now_ms;
+    /// Records that the store failed: the row could not be read, or a claim could not be
+    /// written.
+    pub fn record_store_failure(&mut self, now_ms: u64) {
+        self.store_available_since_ms = now_ms;
     }
 
     /// Records the row as it was read; an unchanged version does not count as a change.
@@ -140,14 +145,14 @@
     }
 
     /// The earliest time at which this daemon may claim the lease, if the row stays unchanged.
-    pub fn claim_ms(&self, candidate: &Candidate, holder: Liveness) -> u64 {
+    pub fn claim_due_ms(&self, candidate: &Candidate, holder: Liveness) -> u64 {
         let is_free = self.row.as_ref().is_none_or(|(row, _)| row.released);
         // The row was written by a previous process of this daemon, which has ended.
         let is_own = self.row.as_ref().is_some_and(|(row, _)| row.holder == candidate.name);
-        let since_ms = self.changed_ms.max(self.writable_since_ms);
+        let since_ms = self.changed_ms.max(self.store_available_since_ms);
         if is_own {
-            // No other daemon may claim the row yet, and waiting until one may would cost more
-            // time than a more suitable leader could make up for.
+            // No other daemon may claim the row yet. To wait until another one may would cost
+            // more time than a more suitable leader could make up for.
             return since_ms;
         }
         if is_free {
@@ -155,7 +160,7 @@
         }
         let timeout_ms = match holder {
             Liveness::Gone | Liveness::Isolated => {
-                FAILED_LEADER_TIMEOUT_MS + candidate.store_answer_ms * FAILED_LEADER_RESPONSE_TIMES
+                FAILED_LEADER_TIMEOUT_MS + candidate.store_latency_ms * FAILED_LEADER_LATENCY_FACTOR
             }
             Liveness::Healthy | Liveness::Unknown => LEADER_LEASE_MS,
         };
@@ -170,15 +175,16 @@
     /// For how long an earlier leader may keep extending the leases of workers, if this
     /// daemon claims the leader lease now.
     ///
-    /// A leader that released its lease does not, nor does a previous process of this
-    /// daemon. Any other may not know that it has been replaced, and extends leases until
-    /// [`EXTENSION_WINDOW_MS`] after its last renewal.
+    /// The holder in the row extends no more leases if it released the leader lease, or if it
+    /// was a previous process of this daemon. Any other holder possibly does not know that it
+    /// has been replaced. It extends leases until [`EXTENSION_WINDOW_MS`] after its last
+    /// renewal. The leaders before it may do so for as long as the row says.
     pub fn earlier_extends_ms(&self, own_name: &str, now_ms: u64) -> u64 {
         let Some((row, _)) = &self.row else { return 0 };
         let unchanged_ms = now_ms.saturating_sub(self.changed_ms);
         let has_ended = row.released || row.holder == own_name;
-        let holder_extends_ms = if has_ended { 0 } else { EXTENSION_WINDOW_MS + RENEWAL_LAG_MS };
-        holder_extends_ms.max(row.earlier_extends_ms).saturating_sub(unchanged_ms)
+        let holder_may_extend_ms = if has_ended { 0 } else { EXTENSION_WINDOW_MS + RENEWAL_LAG_MS };
+        holder_may_extend_ms.max(row.earlier_extends_ms).saturating_sub(unchanged_ms)
     }
 
     /// The version that a claim expects the row to have, and the epoch of the claim.
--- a/crates/node/src/executors/mod.rs
+++ b/crates/node/src/executors/mod.rs
@@ -1,10 +1,14 @@
-//! Calls to workers through other daemons.
+//! Calls to workers through other daemons, the executors.
 //!
 //! One leader decides for the whole pool. With many workers the calls cost it far more
 //! than the decisions, while other daemons are idle. So it sends its calls in batches to
-//! executors, daemons in the workers' zones, which make the calls and return the replies
-//! in batches. An executor decides nothing: calls carry the leader's fencing token, and a
-//! call whose executor is lost counts as unanswered, whatever became of it.
+//! executors. An executor is a daemon in the workers' zone; it makes the calls and returns
+//! the replies in batches. It runs no tasks, and it decides nothing: calls carry the
+//! leader's fencing token, and a call whose executor is lost counts as unanswered, whatever
+//! became of it.
+//!
+//! The leader has a *link* to each of its executors. Over a link it opens one *session*
+//! after another; a session ends with the first call to the executor that fails.
 
 pub mod call;
 mod link;
@@ -34,8 +38,8 @@
 use self::plan::executors_wanted;
 use self::plan::is_busy;
 use self::plan::needs_executors;
+use crate::daemons::DaemonInfo;
 use crate::inbox::InboxSender;
-use crate::members::Member;
 use crate::platform::Platform;
 
 /// How long a new leader waits for its executors before it starts to make calls, directly
@@ -48,7 +52,7 @@
     platform: Arc<P>,
     peers: Peers,
     epoch: u64,
-    messages: InboxSender,
+    inbox_sender: InboxSender,
     state: Arc<Mutex<State>>,
     /// Direct calls and the tasks of links; all are aborted when this is dropped.
     tasks: Mutex<JoinSet<()>>,
@@ -58,8 +62,8 @@
 
 #[derive(Debug)]
 struct State {
-    leader: Member,
-    members: Vec<Member>,
+    leader: DaemonInfo,
+    daemons: Vec<DaemonInfo>,
     workers: BTreeMap<ZoneName, usize>,
     links: BTreeMap<ZoneName, Vec<Arc<Link>>>,
     /// Whether the leader's decisions take up most of its processor time.
@@ -71,17 +75,18 @@
 }
 
 impl<P: Platform> Executors<P> {
-    /// Without executors; the leader makes all calls directly until members are known.
+    /// Starts without executors. The leader makes all calls directly until other daemons are
+    /// known.
     pub fn new(
         platform: Arc<P>,
         peers: Peers,
-        leader: Member,
+        leader: DaemonInfo,
         epoch: u64,
-        messages: InboxSender,
+        inbox_sender: InboxSender,
     ) -> Self {
         let state = State {
             leader,
-            members: Vec::new(),
+            daemons: Vec::new(),
             workers: BTreeMap::new(),
             links: BTreeMap::new(),
             busy: false,
@@ -90,12 +95,20 @@
         };
         let state = Arc::new(Mutex::new(state));
         let tasks = Mutex::default();
-        Self { platform, peers, epoch, messages, state, tasks, changed: watch::Sender::default() }
+        Self {
+            platform,
+            peers,
+            epoch,
+            inbox_sender,
+            state,
+            tasks,
+            changed: watch::Sender::default(),
+        }
     }
 
     /// Updates the list of daemons that can be executors.
-    pub fn update_members(&self, members: Vec<Member>) {
-        self.lock().members = members;
+    pub fn update_daemons(&self, daemons: Vec<DaemonInfo>) {
+        self.lock().daemons = daemons;
         self.open_links();
     }
 
@@ -151,7 +164,7 @@
 
     fn call_directly(&self, call: WorkerCall) {
         let platform = Arc::clone(&self.platform);
-        let messages = self.messages.clone();
+        let inbox_sender = self.inbox_sender.clone();
         let state = Arc::clone(&self.state);
         let pending = call.pending();
         self.spawn(async move {
@@ -159,7 +172,7 @@
             if reply.is_unanswered() {
                 lock(&state).direct_workers.remove(pending.worker());
             }
-            messages.notify(pending.into_event(reply));
+            inbox_sender.notify(pending.into_event(reply));
         });
     }
 
@@ -170,16 +183,16 @@
             return;
         }
         for (zone, workers) in state.workers.clone() {
-            for member in executor_candidates(&zone, &state.members, &state.leader) {
+            for daemon in executor_candidates(&zone, &state.daemons, &state.leader) {
                 let links = state.links.entry(zone.clone()).or_default();
                 if links.iter().filter(|link| link.is_usable()).count() >= executors_wanted(workers)
                 {
                     break;
                 }
-                if links.iter().any(|link| link.address == member.address) {
+                if links.iter().any(|link| link.address == daemon.address) {
                     continue;
                 }
-                let link = Arc::new(Link::new(member.address.clone()));
+                let link = Arc::new(Link::new(daemon.address.clone()));
                 links.push(Arc::clone(&link));
                 self.run_link(link);
             }
@@ -189,7 +202,7 @@
     /// Keeps a session open with an executor for as long as this daemon leads.
     fn run_link(&self, link: Arc<Link>) {
         let peers = self.peers.clone();
-        let messages = self.messages.clone();
+        let inbox_sender = self.inbox_sender.clone();
         let shared = Arc::clone(&self.state);
         let changed = self.changed.clone();
         let epoch = self.epoch;
@@ -197,7 +210,7 @@
             if reply.is_unanswered() {
                 lock(&shared).direct_workers.insert(pending.worker().clone());
             }
-            messages.notify(pending.into_event(reply));
+            inbox_sender.notify(pending.into_event(reply));
         };
         let next_session = {
             let shared = Arc::clone(&self.state);
@@ -252,15 +265,15 @@
         self.busy || needs_executors(self.workers.values().sum(), &self.leader)
     }
 
-    /// The executor for a worker: always the same one while its link is open, so that
+    /// The link to the executor for a worker: always the same one while it is open, so that
     /// connections to the worker are reused. `None` if the worker is called directly.
     fn route(&self, zone: &ZoneName, worker: &WorkerId) -> Option<Arc<Link>> {
         if !self.uses_executors() || self.direct_workers.contains(worker) {
             return None;
         }
         let open = self.links.get(zone)?.iter().filter(|link| link.is_open());
-        let executor =
+        let chosen =
             open.max_by_key(|link| xxh3_64_with_seed(worker.as_str().as_bytes(), link.seed));
-        executor.cloned()
+        chosen.cloned()
     }
 }
--- a/crates/node/src/leader.rs
+++ b/crates/node/src/leader.rs
@@ -32,6 +32,7 @@
 use crate::commit::Writer;
 use crate::commit::claim_fences;
 use crate::commit::renew_lease;
+use crate::daemons::DaemonInfo;
 use crate::election::LEADER_LEASE_MS;
 use crate::executors::Executors;
 use crate::executors::call::WorkerCall;
@@ -43,10 +44,9 @@
 use crate::inbox::inbox;
 use crate::manifest::CurrentManifest;
 use crate::manifest::Manifest;
-use crate::members::Member;
 use crate::message::Message;
-use crate::message::Query;
-use crate::peers::NodeCall;
+use crate::message::SchedulerRequest;
+use crate::peers::DaemonCall;
 use crate::platform::Platform;
 use crate::platform::Table;
 use crate::store_watcher::StoreWatcher;
@@ -58,14 +58,15 @@
 
 /// Longest wait for a message before the next scheduling cycle.
 const IDLE_WAIT_MAX_MS: u64 = 50;
-/// A cycle that took at least this long is followed by a pause of the same length ...
+/// A cycle that took at least this long is followed by a pause of the same length, up to
+/// [`PAUSE_MAX`].
 const PAUSE_MIN: Duration = Duration::from_micros(300);
-/// ... but of at most this.
+/// Longest pause between two scheduling cycles.
 const PAUSE_MAX: Duration = Duration::from_millis(10);
 /// Interval between updates of the gauges.
-const MEASURE_INTERVAL_MS: u64 = 1_000;
+const GAUGE_INTERVAL_MS: u64 = 1_000;
 
-/// What the scheduler needs from its daemon.
+/// The scheduler, with what it uses of the daemon that runs it.
 #[derive(Debug)]
 pub struct Leader<P> {
     /// The store, the workers and the advisor.
@@ -77,15 +78,15 @@
     /// Whether the store answers.
     pub health: Arc<StoreHealth>,
     /// Sends the scheduler's queries to the advisor.
-    pub advisors: Arc<AdvisorDispatcher<P>>,
+    pub advisor_dispatcher: Arc<AdvisorDispatcher<P>>,
     /// Connections to other daemons.
     pub peers: Peers,
     /// Has the newest manifest, and answers other daemons' probes of the leader.
     pub gateway: Arc<Gateway<P>>,
-    /// What other daemons know of this one.
-    pub member: Member,
-    /// Queries of this daemon's callers and of other daemons.
-    pub queries: mpsc::Receiver<Query>,
+    /// This daemon, as an entry of the list of daemons.
+    pub own_info: DaemonInfo,
+    /// Requests of this daemon's callers and of other daemons.
+    pub requests: mpsc::Receiver<SchedulerRequest>,
     /// Becomes `true` when the daemon stops.
     pub stop: tokio::sync::watch::Receiver<bool>,
 }
@@ -95,46 +96,46 @@
     pub async fn run(mut self) {
         let started_ms = steady_ms();
         let epoch = self.lease.row.epoch;
-        let (messages, mut inbox) = inbox();
+        let (inbox_sender, mut inbox) = inbox();
         let mut tasks = JoinSet::new();
         let renewed_ms = Arc::new(AtomicU64::new(started_ms));
         tasks.spawn(renew_lease_and_notify(
             Arc::clone(&self.platform),
             self.lease.clone(),
             Arc::clone(&self.health),
-            messages.clone(),
+            inbox_sender.clone(),
             self.stop.clone(),
             Arc::clone(&renewed_ms),
         ));
         let executors = Arc::new(Executors::new(
             Arc::clone(&self.platform),
             self.peers.clone(),
-            self.member.clone(),
+            self.own_info.clone(),
             epoch,
-            messages.clone(),
+            inbox_sender.clone(),
         ));
-        let failover = Arc::clone(&executors);
-        tasks.spawn(async move { failover.replace_failed().await });
-        let loaded = self.load(epoch, &mut tasks, &messages, &mut inbox, &executors).await;
+        let replacing_executors = Arc::clone(&executors);
+        tasks.spawn(async move { replacing_executors.replace_failed().await });
+        let loaded = self.load(epoch, &mut tasks, &inbox_sender, &mut inbox, &executors).await;
         let Some((mut pool, writer)) = loaded else { return };
         let mut submissions = Submissions::default();
         executors.wait_until_open().await;
         tracing::info!(epoch, took_ms = steady_ms() - started_ms, "scheduler ready");
         metrics::counter!("stoatwell_takeovers_total").increment(1);
-        let mut measured_ms = 0;
-        let mut cycle_meter = CycleTimes::default();
+        let mut gauges_updated_ms = 0;
+        let mut cycle_times = CycleTimes::default();
         let mut decision_time = Duration::ZERO;
         loop {
             let wait_ms = pool.idle_ms(steady_ms()).clamp(1, IDLE_WAIT_MAX_MS);
             let first_message = tokio::select! {
                 biased;
                 first_message = inbox.recv() => first_message,
-                Some(query) = self.queries.recv() => Some(Message::Query(query)),
+                Some(request) = self.requests.recv() => Some(Message::Request(request)),
                 () = tokio::time::sleep(Duration::from_millis(wait_ms)) => None,
             };
             let cycle_started = Instant::now();
             let has_fresh_lease = is_lease_fresh(&renewed_ms);
-            let mut budget = MessageBudget::after_decision(decision_time);
+            let mut budget = MessageBudget::for_cycle(decision_time);
             if !handle_all(
                 &mut pool,
                 &mut submissions,
@@ -145,7 +146,7 @@
             ) {
                 return;
             }
-            while budget.next_burst() {
+            while budget.start_next_burst() {
                 tokio::task::yield_now().await;
                 if !handle_all(
                     &mut pool,
@@ -158,8 +159,8 @@
                     return;
                 }
             }
-            while let Ok(query) = self.queries.try_recv() {
-                answer_query(&mut pool, &mut submissions, query, has_fresh_lease);
+            while let Ok(request) = self.requests.try_recv() {
+                handle_request(&mut pool, &mut submissions, request, has_fresh_lease);
             }
             let handled_at = Instant::now();
             pool.on_leader_lease_renewed(renewed_ms.load(Ordering::Relaxed));
@@ -178,10 +179,10 @@
                     submissions.resolve(job, accepted);
                     continue;
                 }
-                self.execute_effect(effect, &pool, &executors, &messages, &writer, &mut tasks);
+                self.execute_effect(effect, &pool, &executors, &inbox_sender, &writer, &mut tasks);
             }
             while tasks.try_join_next().is_some() {}
-            cycle_meter.add(
+            cycle_times.add(
                 handled_at - cycle_started,
                 decided_at - handled_at,
                 decided_at.elapsed(),
@@ -191,12 +192,12 @@
             if pause >= PAUSE_MIN {
                 tokio::time::sleep(pause).await;
             }
-            if steady_ms() >= measured_ms + MEASURE_INTERVAL_MS {
-                let period_ms = steady_ms() - measured_ms;
-                measured_ms = steady_ms();
-                publish_gauges(&pool, &cycle_meter);
-                executors.update_load(cycle_meter.total().as_millis() as u64, period_ms);
-                cycle_meter = CycleTimes::default();
+            if steady_ms() >= gauges_updated_ms + GAUGE_INTERVAL_MS {
+                let period_ms = steady_ms() - gauges_updated_ms;
+                gauges_updated_ms = steady_ms();
+                publish_gauges(&pool, &cycle_times);
+                executors.update_load(cycle_times.total().as_millis() as u64, period_ms);
+                cycle_times = CycleTimes::default();
                 executors.update_workers(pool.workers_by_zone());
             }
         }
@@ -208,7 +209,7 @@
         &self,
         epoch: u64,
         tasks: &mut JoinSet<()>,
-        messages: &InboxSender,
+        inbox_sender: &InboxSender,
         inbox: &mut Inbox,
         executors: &Arc<Executors<P>>,
     ) -> Option<(Pool, Arc<Writer<P>>)> {
@@ -225,12 +226,12 @@
             health: Arc::clone(&self.health),
             fence,
             fence_versions: Mutex::new(versions),
-            messages: messages.clone(),
+            inbox_sender: inbox_sender.clone(),
         });
         let store_watcher = Arc::new(StoreWatcher {
             platform: Arc::clone(&self.platform),
             health: Arc::clone(&self.health),
-            messages: messages.clone(),
+            inbox_sender: inbox_sender.clone(),
         });
         let tables = async {
             tokio::join!(
@@ -253,7 +254,7 @@
         tasks.spawn(forward_customers(
             Arc::clone(self.gateway.manifest()),
             manifest.version,
-            messages.clone(),
+            inbox_sender.clone(),
         ));
         let mut progress_by_job = std::collections::HashMap::new();
         for row in &progress.rows {
@@ -263,7 +264,8 @@
         }
         let (mut job_count, mut open) = (0, 0);
         let mut specs: Vec<(JobId, JobSpec)> = jobs.rows.iter().filter_map(read_row).collect();
-        // Which jobs are within a customer's weight depends on their order of arrival.
+        // A customer's weight includes a rate of jobs. Which jobs exceed that rate depends on
+        // their order of arrival.
         specs.sort_by_key(|(_, spec)| spec.accepted_unix_ms);
         for (id, spec) in specs {
             let progress = progress_by_job.get(&id);
@@ -284,16 +286,22 @@
             workers = workers.listed.len(),
             "state restored from the store"
         );
-        for listed in workers.listed {
-            pool.handle(steady_ms(), unix_ms(), Event::Listed(listed));
+        for worker in workers.listed {
+            pool.handle(steady_ms(), unix_ms(), Event::Listed(worker));
         }
         tasks.spawn(Arc::clone(&store_watcher).watch_table(Table::Jobs, jobs.version));
         tasks.spawn(Arc::clone(&store_watcher).watch_table(Table::Cancels, cancels.version));
         tasks.spawn(Arc::clone(&store_watcher).watch_workers(version));
-        let leads_call = NodeCall::Leads { epoch, address: self.lease.row.address.clone() };
-        let (advisors, executors) = (Arc::clone(&self.advisors), Arc::clone(executors));
+        let leads_call = DaemonCall::Leads { epoch, address: self.lease.row.address.clone() };
+        let (advisor_dispatcher, executors) =
+            (Arc::clone(&self.advisor_dispatcher), Arc::clone(executors));
         let gateway = Arc::clone(&self.gateway);
-        tasks.spawn(store_watcher.track_members(advisors, executors, gateway, leads_call));
+        tasks.spawn(store_watcher.track_daemons(
+            advisor_dispatcher,
+            executors,
+            gateway,
+            leads_call,
+        ));
         Some((pool, writer))
     }
 
@@ -302,7 +310,7 @@
         effect: Effect,
         pool: &Pool,
         executors: &Executors<P>,
-        messages: &InboxSender,
+        inbox_sender: &InboxSender,
         writer: &Arc<Writer<P>>,
         tasks: &mut JoinSet<()>,
     ) {
@@ -313,14 +321,14 @@
             Effect::Stop(stop) => call(WorkerCall::Stop(stop)),
             Effect::Pace(pace) => call(WorkerCall::Pace(pace)),
             Effect::Advise { step, workers, priority, cost_ms } => {
-                let advisors = Arc::clone(&self.advisors);
-                let messages = messages.clone();
+                let advisor_dispatcher = Arc::clone(&self.advisor_dispatcher);
+                let inbox_sender = inbox_sender.clone();
                 tasks.spawn(async move {
-                    let granted = advisors.query(step, &workers, priority, cost_ms).await;
+                    let granted = advisor_dispatcher.query(step, &workers, priority, cost_ms).await;
                     let received_ms = steady_ms();
                     let event =
                         Event::Advised { step, asked: workers, cost_ms, granted, received_ms };
-                    messages.notify(event);
+                    inbox_sender.notify(event);
                 });
             }
             Effect::Commit { batch, writes } => {
@@ -333,14 +341,14 @@
 
 /// Sends the customers' limits of each newer manifest to the scheduler.
 async fn forward_customers(
-    in_force: Arc<CurrentManifest>,
+    current: Arc<CurrentManifest>,
     mut version: u64,
-    messages: InboxSender,
+    inbox_sender: InboxSender,
 ) {
     loop {
-        let manifest = in_force.wait_for_newer(version).await;
+        let manifest = current.wait_for_newer(version).await;
         version = manifest.version;
-        messages.notify(Event::Customers { limits: customer_limits(&manifest) });
+        inbox_sender.notify(Event::Customers { limits: customer_limits(&manifest) });
     }
 }
 
@@ -361,12 +369,12 @@
     platform: Arc<P>,
     lease: HeldLease,
     health: Arc<StoreHealth>,
-    messages: InboxSender,
+    inbox_sender: InboxSender,
     stop: tokio::sync::watch::Receiver<bool>,
     renewed_ms: Arc<AtomicU64>,
 ) {
     renew_lease(platform, lease, health, stop, renewed_ms).await;
-    messages.notify_leadership_lost();
+    inbox_sender.notify_leadership_lost();
 }
 
 /// Handles a message and those queued behind it, as far as the budget allows. Returns `false`
@@ -387,7 +395,9 @@
                 count_event(&event);
                 pool.handle(steady_ms(), unix_ms(), event);
             }
-            Message::Query(query) => answer_query(pool, submissions, query, has_fresh_lease),
+            Message::Request(request) => {
+                handle_request(pool, submissions, request, has_fresh_lease);
+            }
         }
     }
     true
@@ -400,18 +410,21 @@
     steady_ms().saturating_sub(renewed_ms.load(Ordering::Relaxed)) < LEADER_LEASE_MS
 }
 
-fn answer_query(
+/// Handles a request, and replies if it asks for a reply. A number of pending jobs is not
+/// reported without a fresh lease.
+fn handle_request(
     pool: &mut Pool,
     submissions: &mut Submissions,
-    query: Query,
+    request: SchedulerRequest,
     has_fresh_lease: bool,
 ) {
-    let is_delivered = match query {
-        Query::Submit(job, row, reply_sender) => {
+    // `false` only if a reply could not be sent.
+    let is_handled = match request {
+        SchedulerRequest::Submit(job, row, reply_sender) => {
             submissions.submit(pool, job, &row, reply_sender);
             true
         }
-        Query::Accepted(job, row) => {
+        SchedulerRequest::Accepted(job, row) => {
             match serde_json::from_slice(&row) {
                 Ok(spec) => {
                     let event = Event::Accepted { job, spec: Arc::new(spec) };
@@ -426,19 +439,21 @@
             }
             true
         }
-        Query::Cancelled(job) => {
+        SchedulerRequest::Cancelled(job) => {
             pool.handle(steady_ms(), unix_ms(), Event::Cancelled { job });
             true
         }
-        Query::State(job, reply_sender) => reply_sender.send(pool.view(job)).is_ok(),
-        Query::Pending(_, _) if !has_fresh_lease => true,
-        Query::Pending(queue, reply_sender) => {
+        SchedulerRequest::State(job, reply_sender) => reply_sender.send(pool.view(job)).is_ok(),
+        SchedulerRequest::Pending(_, _) if !has_fresh_lease => true,
+        SchedulerRequest::Pending(queue, reply_sender) => {
             reply_sender.send(pool.pending(&queue) as u64).is_ok()
         }
-        Query::Dump(reply_sender) => reply_sender.send(pool.dump()).is_ok(),
-        Query::Explain(job, reply_sender) => reply_sender.send(pool.explain(job)).is_ok(),
+        SchedulerRequest::Dump(reply_sender) => reply_sender.send(pool.dump()).is_ok(),
+        SchedulerRequest::Explain(job, reply_sender) => {
+            reply_sender.send(pool.explain(job)).is_ok()
+        }
     };
-    if !is_delivered {
-        tracing::debug!("the caller of a query left before the reply");
+    if !is_handled {
+        tracing::debug!("cannot reply to a request: its caller has left");
     }
 }
--- a/crates/node/src/leader_view.rs
+++ b/crates/node/src/leader_view.rs
@@ -15,9 +15,9 @@
 
 use crate::clock::steady_ms;
 use crate::gateway::Gateway;
-use crate::message::Query;
-use crate::peers::NodeCall;
-use crate::peers::NodeReply;
+use crate::message::SchedulerRequest;
+use crate::peers::DaemonCall;
+use crate::peers::DaemonReply;
 use crate::platform::Platform;
 
 /// Time limit for the response to a probe: some round trips between regions, and a
@@ -28,10 +28,10 @@
 const MISSES_MAX: u32 = 2;
 /// Probe interval of a daemon that could lead itself.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
-/// Probe interval of the other daemons, for each daemon of the pool: this is the mean time
-/// between probes that the leader gets from them ...
+/// Probe interval of the other daemons, for each daemon of the pool. It is the mean time
+/// between two probes that the leader gets from them.
 const PROBE_INTERVAL_PER_DAEMON: Duration = Duration::from_millis(10);
-/// ... and this is the longest interval of any of them.
+/// Maximum probe interval of any daemon.
 const PROBE_INTERVAL_MAX: Duration = Duration::from_secs(2);
 /// Delay before the second probe, after the first one without a response.
 const REPROBE_DELAY: Duration = Duration::from_millis(30);
@@ -42,7 +42,7 @@
     /// No leader is known, or it is gone.
     None,
     /// This daemon is the leader.
-    Local(mpsc::Sender<Query>),
+    Local(mpsc::Sender<SchedulerRequest>),
     /// The leader is the daemon at this address.
     Remote(String),
 }
@@ -64,8 +64,8 @@
 /// What a daemon knows about the current leader.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeaderView {
-    /// The scheduler's query channel, while this daemon leads.
-    queries: Option<mpsc::Sender<Query>>,
+    /// The channel for requests to the scheduler, while this daemon leads.
+    requests: Option<mpsc::Sender<SchedulerRequest>>,
     /// The highest epoch that was seen.
     epoch: u64,
     /// Address of that epoch's leader; `None` if it released the lease.
@@ -87,15 +87,15 @@
         self.address = address;
     }
 
-    /// Sets the scheduler's query channel while this daemon leads, `None` afterwards.
-    pub fn set_local(&mut self, queries: Option<mpsc::Sender<Query>>) {
-        self.queries = queries;
+    /// Sets the channel for requests to the scheduler while this daemon leads, `None` afterwards.
+    pub fn set_local(&mut self, requests: Option<mpsc::Sender<SchedulerRequest>>) {
+        self.requests = requests;
     }
 
     /// How to reach the leader.
     pub fn route(&self) -> Route {
-        if let Some(queries) = &self.queries {
-            return Route::Local(queries.clone());
+        if let Some(requests) = &self.requests {
+            return Route::Local(requests.clone());
         }
         match &self.address {
             Some(address) if self.liveness != Liveness::Gone => Route::Remote(address.clone()),
@@ -104,7 +104,7 @@
     }
 
     /// Records the liveness of an epoch's leader; returns whether it changed.
-    pub fn note_liveness(&mut self, epoch: u64, liveness: Liveness) -> bool {
+    pub fn record_liveness(&mut self, epoch: u64, liveness: Liveness) -> bool {
         if epoch != self.epoch || liveness == self.liveness {
             return false;
         }
@@ -128,13 +128,13 @@
 
     /// Whether there is no leader that could make anything durable.
     pub fn is_unavailable(&self) -> bool {
-        let has_leader = self.queries.is_some() || self.address.is_some();
+        let has_leader = self.requests.is_some() || self.address.is_some();
         !has_leader || matches!(self.liveness, Liveness::Gone | Liveness::Isolated)
     }
 
     /// Epoch and address of the leader to probe; `None` if this daemon leads or none is known.
     fn remote_leader(&self) -> Option<(u64, String)> {
-        let address = self.address.clone().filter(|_| self.queries.is_none())?;
+        let address = self.address.clone().filter(|_| self.requests.is_none())?;
         Some((self.epoch, address))
     }
 }
@@ -150,33 +150,33 @@
     let mut misses = 0;
     let mut interval = PROBE_INTERVAL;
     loop {
-        let target = view.borrow_and_update().remote_leader();
-        if target != probed {
+        let leader = view.borrow_and_update().remote_leader();
+        if leader != probed {
             misses = 0;
-            probed.clone_from(&target);
+            probed.clone_from(&leader);
         }
-        let Some((epoch, address)) = target else {
+        let Some((epoch, address)) = leader else {
             if view.changed().await.is_err() {
                 return;
             }
             continue;
         };
         let sent_ms = steady_ms();
-        let reply = peers.call::<NodeReply>(&address, &NodeCall::Alive, PROBE_TIMEOUT).await;
-        if let Ok(NodeReply::Alive { daemons, fit, manifest, .. }) = &reply {
+        let reply = peers.call::<DaemonReply>(&address, &DaemonCall::Alive, PROBE_TIMEOUT).await;
+        if let Ok(DaemonReply::Alive { daemons, fit, manifest, .. }) = &reply {
             interval = probe_interval(is_underprovisioned, *daemons);
-            gateway.set_member_counts(*daemons, *fit);
-            gateway.note_proof(&address, *manifest, sent_ms).await;
+            gateway.set_daemon_counts(*daemons, *fit);
+            gateway.record_proof(&address, *manifest, sent_ms).await;
         }
         let liveness = match reply {
-            Ok(NodeReply::Alive { reaches_store: true, .. }) => Some(Liveness::Healthy),
-            Ok(NodeReply::Alive { reaches_store: false, .. }) => Some(Liveness::Isolated),
+            Ok(DaemonReply::Alive { reaches_store: true, .. }) => Some(Liveness::Healthy),
+            Ok(DaemonReply::Alive { reaches_store: false, .. }) => Some(Liveness::Isolated),
             Ok(_) | Err(_) => None,
         };
         misses = if liveness.is_some() { 0 } else { misses + 1 };
         let liveness = liveness.or_else(|| (misses >= MISSES_MAX).then_some(Liveness::Gone));
         if let Some(liveness) = liveness {
-            gateway.note_liveness(epoch, liveness);
+            gateway.record_liveness(epoch, liveness);
         }
         let delay = if misses == 1 { REPROBE_DELAY } else { interval };
         wait_for_next_probe(&mut view, probed.as_ref(), delay).await;
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -7,9 +7,10 @@
 use stoatwell_pool::PoolDump;
 use tokio::sync::oneshot;
 
-/// A query to the scheduler, or a notification without a reply.
+/// A request to the scheduler from a daemon: a query, a command, or a notification. A
+/// reply is sent through the variant's sender, which is dropped if there is none.
 #[derive(Debug)]
-pub enum Query {
+pub enum SchedulerRequest {
     /// Asks for a job's state; the reply is `None` if the scheduler does not know the job.
     State(JobId, oneshot::Sender<Option<JobView>>),
     /// Asks how many jobs of a queue have not started.
@@ -31,8 +32,8 @@
 pub enum Message {
     /// An event that changes the pool's state.
     Event(Event),
-    /// A query from a caller's daemon.
-    Query(Query),
+    /// A request from this daemon or another one.
+    Request(SchedulerRequest),
     /// This daemon no longer holds the leader lease.
     LeadershipLost,
 }
