--- a/crates/engine/src/commit.rs
+++ b/crates/engine/src/commit.rs
@@ -89,7 +89,7 @@
         for (ticket, wait_ms) in acceptance_waiters {
             self.wait_for_outcome(id, ticket, wait_ms);
         }
-        // A job that was taken over first looks for its tasks that already run.
+        // For a job that was taken over, the tasks that already run are searched for first.
         if !taken_over && !is_request && !waiting.is_empty() {
             self.enqueue(id, waiting);
         }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -15,7 +15,8 @@
 //! - An entry is an item of the catalogue that operators write. A work entry describes one
 //!   kind of work: its owner, class, limits and the demand of a task.
 //! - A target is the catalogue's assignment of a worker to an owner, which is a customer.
-//!   Only the owner's work may run on the worker. A draining target starts no new work.
+//!   Only the owner's work may run on the worker. While the target is draining, no new work
+//!   starts there.
 //! - A minion is a server process on a worker that answers requests. It has a number of
 //!   slots, each for one request at a time, and belongs to a group of equal minions.
 //! - The coordinator of a job is the daemon that schedules it and writes its record.
--- a/crates/engine/src/observations.rs
+++ b/crates/engine/src/observations.rs
@@ -68,7 +68,7 @@
     }
 
     /// Whether an attempt is the current one of its task and was not placed on a worker other
-    /// than this one. Capacity for one attempt may have been reserved at two holders, one
+    /// than `worker`. Capacity for one attempt may have been reserved at two holders, one
     /// after the other. A report of the first holder must not count for the second.
     pub(crate) fn is_current(&self, attempt: AttemptId, worker: &WorkerId) -> bool {
         let Some(job) = self.jobs.get(&attempt.job) else {
--- a/crates/engine/src/peers.rs
+++ b/crates/engine/src/peers.rs
@@ -254,9 +254,12 @@
         // The list of all zones takes hundreds of kilobytes at the size that the pool is
         // built for. It is read only while jobs of this daemon have tasks in other zones,
         // because work was taken over from there.
-        let all_zones = self.has_tasks_in_other_zones();
-        let zone = if all_zones { None } else { Some(self.me.zone.clone()) };
-        self.call_store(StoreOp::List { all_zones: all_zones }, StoreCall::Instances { zone });
+        let reads_all_zones = self.has_tasks_in_other_zones();
+        let zone = if reads_all_zones { None } else { Some(self.me.zone.clone()) };
+        self.call_store(
+            StoreOp::List { all_zones: reads_all_zones },
+            StoreCall::Instances { zone },
+        );
     }
 
     pub(crate) fn on_instance_list(
--- a/crates/engine/src/sweep.rs
+++ b/crates/engine/src/sweep.rs
@@ -37,9 +37,9 @@
 const TAKEOVER_BATCH: usize = 64;
 /// Maximum number of finished jobs removed at once.
 const REMOVAL_BATCH: u32 = 32;
-/// Time for which an ended task is kept without a look at its job's record, if another
-/// daemon coordinates the job.
-const ENDED_TASK_RETENTION_MS: UnixMs = 30_000;
+/// Time after the end of a task, or after the last check, at which the record of its job is
+/// checked, if another daemon coordinates the job.
+const ENDED_TASK_CHECK_MS: UnixMs = 30_000;
 /// A zone is dead if no daemon of it showed a sign of life for this long. The relays of
 /// other zones then take over its jobs.
 const ZONE_DEAD_MS: UnixMs = 60_000;
@@ -95,6 +95,7 @@
             self.scan_open_jobs();
             self.find_orphans();
         }
+        // Of the daemons of a zone, only the relay removes records.
         let due = now_ms >= self.sweep.next_removal_ms && !self.sweep.removing;
         if due && self.members.is_relay(now_ms) {
             self.sweep.next_removal_ms = now_ms + self.settings.ledger.sweep_ms;
@@ -263,7 +264,7 @@
     /// Finds tasks on held workers that may be orphaned, and reads the records of their
     /// jobs. The job is not coordinated by this daemon, and one of these holds: the task
     /// names this daemon as its coordinator, the coordinator replied that it doesn't know
-    /// the job, or the task ended at least [`ENDED_TASK_RETENTION_MS`] ago.
+    /// the job, or the task ended, or was last checked, at least [`ENDED_TASK_CHECK_MS`] ago.
     fn find_orphans(&mut self) {
         let mut jobs = BTreeSet::new();
         for held in self.held.values() {
@@ -273,7 +274,7 @@
                 }
                 let is_own = task.coordinator == self.me.daemon;
                 let ended_ms = task.ended_ms;
-                let is_stale = ended_ms > 0 && self.now_ms >= ended_ms + ENDED_TASK_RETENTION_MS;
+                let is_stale = ended_ms > 0 && self.now_ms >= ended_ms + ENDED_TASK_CHECK_MS;
                 if is_own || is_stale || self.sweep.orphans.contains(attempt) {
                     jobs.insert(attempt.job);
                 }
@@ -297,7 +298,7 @@
             match record {
                 // The job is open, so its coordinator may still inquire about the tasks. They
                 // are kept for it.
-                Some(record) if record.outcome.is_none() => self.extend_retention(*job),
+                Some(record) if record.outcome.is_none() => self.postpone_check(*job),
                 Some(record) => {
                     self.remember_finished(view_of_record(record, Vec::new()));
                     self.clean_up_job_tasks(*job);
@@ -307,8 +308,8 @@
         }
     }
 
-    /// Keeps the ended tasks of an open job for another [`ENDED_TASK_RETENTION_MS`].
-    fn extend_retention(&mut self, job: JobId) {
+    /// Postpones the next check of an open job's ended tasks by [`ENDED_TASK_CHECK_MS`].
+    fn postpone_check(&mut self, job: JobId) {
         let now_ms = self.now_ms;
         for held in self.held.values_mut() {
             for (_, task) in held.tasks.range_mut(attempts_of(job)) {
--- a/crates/placement/src/reservation.rs
+++ b/crates/placement/src/reservation.rs
@@ -7,6 +7,9 @@
 //! cannot deadlock. When a reservation expires, the next job can get one. In the meantime,
 //! idempotent batch work may use the reserved capacity. This work can be evicted unless it
 //! is urgent.
+//!
+//! The capacity that another daemon reserves here for its tasks is not a reservation of this
+//! kind: it is allocated at once, as for a placed task.
 
 use stoatwell_model::JobId;
 use stoatwell_model::Resources;
--- a/crates/placement/src/scheduler/mod.rs
+++ b/crates/placement/src/scheduler/mod.rs
@@ -64,8 +64,8 @@
     pub aging_ms: u64,
     /// Waiting time after which a job that does not fit gets a reservation.
     pub reserve_after_ms: u64,
-    /// How long a reservation lasts. After it has expired, its job is skipped for the same
-    /// time.
+    /// How long a reservation lasts. Once it has expired, the job that it was for is skipped
+    /// for the same time.
     pub reserve_ms: u64,
     /// Whether the demand of a task is estimated from past usage; otherwise the declared
     /// demand is used.
@@ -434,6 +434,7 @@
             let waiting_weight = f64::from(
                 self.weights.get(&entry_queue.owner).map_or(1, |weights| weights.waiting).max(1),
             );
+            // The higher an owner weighs short waits, the smaller its share counts.
             let share = used.dominant_share(&capacity) / waiting_weight;
             let key =
                 (rank, share, entry_queue.front_deadline_ms(), entry_queue.front_accepted_ms());
--- a/crates/placement/src/scheduler/place.rs
+++ b/crates/placement/src/scheduler/place.rs
@@ -158,7 +158,8 @@
         }
     }
 
-    /// Whether one more task of a job stays within its owner's quota and headroom.
+    /// Whether the owner of a job stays within quota if one more task of the job is placed.
+    /// For patient work, the owner's headroom must also stay free.
     pub(super) fn within_quota(&self, job: &WaitingJob, demand: &Resources) -> bool {
         let (capacity, used) = self.cell.usage(&job.owner);
         let after = used.plus(demand);
